--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -14,13 +14,13 @@
 use http::request::Parts;
 use jd_net::Body;
 use jd_serving::CallHead;
-use jd_serving::PieceOrder;
+use jd_serving::PieceRequest;
 use jd_serving::PieceResult;
 use jd_serving::RateError;
 use jd_serving::RequestRate;
 use jd_serving::RetryAfter;
 use jd_serving::RetryAfterError;
-use jd_serving::RoomReport;
+use jd_serving::StorageReport;
 use jd_types::Refusal;
 
 /// What goes with a caller's request to one upstream.
@@ -97,7 +97,7 @@
     fn refusal(&self, refusal: &Refusal) -> Response<Body>;
 
     /// A call for pieces of stages.
-    fn stage_request(&self, upstream: &str, pieces: &[PieceOrder]) -> Request<Body>;
+    fn stage_request(&self, upstream: &str, pieces: &[PieceRequest]) -> Request<Body>;
 
     /// Reads the answer to such a call; none if it is not one.
     fn stage_results(&self, body: &[u8], count: usize) -> Option<Vec<PieceResult>>;
@@ -109,7 +109,7 @@
     fn room_request(&self, upstream: &str) -> Request<Body>;
 
     /// Reads the answer to such a question; none if it is not one.
-    fn room_report(&self, body: &[u8]) -> Option<RoomReport>;
+    fn room_report(&self, body: &[u8]) -> Option<StorageReport>;
 
     /// Where a result lies; none if its handle does not tell.
     fn result_address(&self, handle: &str) -> Option<SocketAddr>;
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -128,7 +128,7 @@
 
     /// A request ran to its end at a service.
     pub(crate) fn note_ran(&self, now: MonoTime, service: &str, content: Content) {
-        lock(&self.recent).note(now, service, content);
+        lock(&self.recent).record(now, service, content);
         let held = self.list.load().of(now, content);
         if held.is_some_and(|h| h.state.is_open()) {
             self.run_events.add(RunEvent::Ran(CompletedRun {
@@ -144,7 +144,7 @@
         let list = self.list.load();
         let open = list.all(now).filter(|(_, h)| h.state.is_open());
         let recent = lock(&self.recent);
-        open.flat_map(|(content, _)| recent.of(now, content))
+        open.flat_map(|(content, _)| recent.runs_of(now, content))
             .collect()
     }
 }
--- a/crates/gateway/src/stage_batches.rs
+++ b/crates/gateway/src/stage_batches.rs
@@ -19,11 +19,11 @@
 use jd_serving::JobFailure;
 use jd_serving::JobKey;
 use jd_serving::PieceResult;
-use jd_serving::RoomQuestion;
-use jd_serving::RoomReport;
 use jd_serving::Shard;
-use jd_serving::StageDesk;
 use jd_serving::StageJob;
+use jd_serving::StageScheduler;
+use jd_serving::StorageQuery;
+use jd_serving::StorageReport;
 use jd_types::MonoTime;
 
 use crate::result_free::ResultFree;
@@ -49,7 +49,7 @@
 
 #[derive(Debug, Default)]
 struct Desk {
-    desk: StageDesk,
+    desk: StageScheduler,
     waiters: HashMap<JobKey, Sender<JobOutcome>>,
     table: Option<Arc<UpstreamTable>>,
     /// True while this instance is the one that is asked first.
@@ -127,8 +127,8 @@
         let mut desks = lock(&self.desks);
         let mut unknown = Vec::new();
         for handle in handles {
-            match desks.values_mut().find(|d| d.desk.holds(&handle)) {
-                Some(desk) => desk.desk.release(vec![handle]),
+            match desks.values_mut().find(|d| d.desk.holds_result(&handle)) {
+                Some(desk) => desk.desk.release_results(vec![handle]),
                 None => unknown.push(handle),
             }
         }
@@ -182,7 +182,7 @@
     fn pump_all(self: &Arc<Self>) {
         let waiting: Vec<Shard> = {
             let desks = lock(&self.desks);
-            let waiting = desks.iter().filter(|(_, d)| d.desk.is_waiting());
+            let waiting = desks.iter().filter(|(_, d)| d.desk.has_pending_work());
             waiting.map(|(shard, _)| shard.clone()).collect()
         };
         for shard in waiting {
@@ -200,9 +200,9 @@
         self.follow_upstreams(shard, desk);
         let quarantine = &self.state.quarantine;
         desk.desk
-            .quarantine(|content| quarantine.left(now, content));
+            .fail_quarantined(|content| quarantine.left(now, content));
         desk.desk.expire(now);
-        for question in desk.desk.room_questions(now) {
+        for question in desk.desk.storage_queries(now) {
             let asking = Arc::clone(self).ask_room(shard.clone(), question);
             self.state.executor.spawn(asking).detach();
         }
@@ -213,32 +213,32 @@
                 .spawn(batches.make(shard.clone(), call))
                 .detach();
         }
-        for end in desk.desk.take_ended() {
+        for end in desk.desk.take_finished() {
             if let Some(tx) = desk.waiters.remove(&end.key) {
                 // Fails only if nobody waits any more.
                 let _ = tx.try_send(end.outcome);
             }
         }
-        self.free.add(desk.desk.take_unused());
+        self.free.add(desk.desk.take_unused_results());
     }
 
     /// Asks an upstream how much room it has.
-    async fn ask_room(self: Arc<Self>, shard: Shard, question: RoomQuestion) {
+    async fn ask_room(self: Arc<Self>, shard: Shard, question: StorageQuery) {
         let told = self.room_told(&question).await;
         log::info!(
             service = question.service.as_str(),
             upstream = question.upstream.as_str(),
-            free:? = told.map(|t| t.free);
+            free:? = told.map(|t| t.free_bytes);
             "room asked"
         );
         if let Some(desk) = lock(&self.desks).get_mut(&shard) {
             let now = self.state.now();
-            desk.desk.told_room(now, &question, told);
+            desk.desk.record_storage_report(now, &question, told);
         }
         self.pump(&shard);
     }
 
-    async fn room_told(&self, question: &RoomQuestion) -> Option<RoomReport> {
+    async fn room_told(&self, question: &StorageQuery) -> Option<StorageReport> {
         let (state, dialect) = (&self.state, &self.state.dialect);
         let upstream = UpstreamRef {
             service: question.service.clone(),
@@ -268,15 +268,15 @@
             service = call.service.as_str(),
             upstream = call.upstream.as_str(),
             pieces = call.pieces.len(),
-            waiting = call.waiting,
-            room_used = call.room_used,
-            far_bytes = call.far_bytes,
+            waiting = call.queued,
+            room_used = call.storage_used,
+            far_bytes = call.cross_zone_bytes,
             outcome = outcome_of(&result).as_str(),
             ms = now.since(began).as_millis() as u64;
             "call for pieces"
         );
         if let Some(desk) = lock(&self.desks).get_mut(&shard) {
-            desk.desk.finish(now, call.key, result);
+            desk.desk.complete_call(now, call.key, result);
         }
         self.pump(&shard);
     }
@@ -308,7 +308,7 @@
         // Room that the desk counts as free has to be free when the call comes.
         self.free.flush(call.address).await;
         let req = dialect.stage_request(&call.upstream, &call.pieces);
-        let sent = state.gate.send(state, permit, req, call.patience, || {});
+        let sent = state.gate.send(state, permit, req, call.timeout, || {});
         let response = match sent.await {
             Ok(response) => response,
             Err(SendFailure::Withheld(why)) => return withheld(why),
@@ -322,7 +322,7 @@
             status if head.not_run || !status.is_success() => return self.refused(call),
             _ => {}
         }
-        match within(call.patience, response.whole(MAX_ANSWER)).await {
+        match within(call.timeout, response.whole(MAX_ANSWER)).await {
             Some(Ok(body)) => match dialect.stage_results(&body, call.pieces.len()) {
                 Some(results) => CallResult::Answered(results),
                 None => CallResult::Failed,
@@ -356,7 +356,7 @@
         for service in router.services() {
             if let Some(spec) = service.batch {
                 let all = table.upstreams(&service.name);
-                let own = shard.of_service(all, |u| &u.zone);
+                let own = shard.select_upstreams(all, |u| &u.zone);
                 let now = self.state.now();
                 desk.desk.set_upstreams(now, &service.name, spec, own);
             }
@@ -391,9 +391,9 @@
     for result in results {
         let kind = match result {
             PieceResult::Done(_) => 0,
-            PieceResult::Late => 1,
-            PieceResult::InputGone => 2,
-            PieceResult::NoRoom => 3,
+            PieceResult::Expired => 1,
+            PieceResult::InputMissing => 2,
+            PieceResult::StorageFull => 3,
             PieceResult::Failed => 4,
         };
         counts[kind] += 1;
--- a/crates/gateway/src/stage_runner.rs
+++ b/crates/gateway/src/stage_runner.rs
@@ -202,7 +202,7 @@
         let place = bytes.fold(0_u64, |h, b| h.wrapping_mul(31).wrapping_add(u64::from(b)));
         let used = job.stages.iter().filter(|s| s.pieces > 0);
         let services: Vec<&str> = used.map(|s| s.service.as_str()).collect();
-        let bytes = job.handed_on();
+        let bytes = job.output_bytes();
         let shards = self.state.shards.load();
         let backlog = |shard: &Shard| self.state.backlog(shard);
         shards.choose(place, &services, job.zone.as_ref(), bytes, backlog)
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -32,7 +32,7 @@
 use jd_serving::StoreRevision;
 use jd_serving::UsedShards;
 use jd_serving::news_source;
-use jd_serving::owners;
+use jd_serving::rank_owners;
 use jd_settings::GatewaySettings;
 use jd_types::MonoTime;
 use jd_types::spread;
@@ -224,7 +224,7 @@
         let knowledge = self.knowledge();
         let others = knowledge.instances.able(now);
         let own = (!self.is_leaving()).then_some(&self.me);
-        let order = owners(shard, others.chain(own), MAX_OWNERS);
+        let order = rank_owners(shard, others.chain(own), MAX_OWNERS);
         order.into_iter().map(|e| e.peers).collect()
     }
 
@@ -253,7 +253,7 @@
 
     /// True if this instance is the one that is asked first.
     pub(crate) fn owns(&self, shard: &Shard) -> bool {
-        let known = self.shards.load().has(shard);
+        let known = self.shards.load().contains(shard);
         known && self.owner_order(shard).first() == Some(&self.me.peers)
     }
 
--- a/crates/gateway/src/store_intake.rs
+++ b/crates/gateway/src/store_intake.rs
@@ -9,8 +9,8 @@
 use jd_serving::InstanceEntry;
 use jd_serving::News;
 use jd_serving::NewsSource;
-use jd_serving::Reading;
 use jd_serving::Router;
+use jd_serving::SnapshotKind;
 use jd_serving::StoreItem;
 use jd_serving::StoreRevision;
 use jd_serving::UpstreamEntry;
@@ -139,8 +139,8 @@
     fn replace(&self, items: Vec<StoreItem>, revision: StoreRevision, known: StoreRevision) {
         let is_first = known == StoreRevision::NOTHING;
         let reading = match is_first || revision.is_same_era(known) {
-            true => Reading::Complete,
-            false => Reading::Restored,
+            true => SnapshotKind::Complete,
+            false => SnapshotKind::Restored,
         };
         let items = self.keep_deployment(items, revision, true);
         let changes: Vec<(Change, StoreItem)> = self.decode(&items);
@@ -175,7 +175,7 @@
         }
         self.state.quarantine.relist(&quarantined);
         let now = self.state.now();
-        if reading == Reading::Restored {
+        if reading == SnapshotKind::Restored {
             log::warn!(revision:%, known:%; "store was restored from a copy; what it lost is written again");
         }
         {
@@ -188,7 +188,7 @@
             self.state.rebuild_upstreams();
         }
         let is_listed = || instances.contains(&self.state.me.incarnation);
-        if !is_first && (reading == Reading::Restored || !is_listed()) {
+        if !is_first && (reading == SnapshotKind::Restored || !is_listed()) {
             self.state.entry_gone.give();
         }
         log::info!(revision:%; "store read whole");
--- a/crates/gateway/tests/whole/fakes/fake_dialect.rs
+++ b/crates/gateway/tests/whole/fakes/fake_dialect.rs
@@ -21,7 +21,7 @@
 use jd_gateway::UpstreamCall;
 use jd_net::Body;
 use jd_serving::CallHead;
-use jd_serving::PieceOrder;
+use jd_serving::PieceRequest;
 use jd_serving::PieceResult;
 use jd_serving::RateError;
 use jd_serving::RequestRate;
@@ -116,7 +116,7 @@
         res
     }
 
-    fn stage_request(&self, _upstream: &str, _pieces: &[PieceOrder]) -> Request<Body> {
+    fn stage_request(&self, _upstream: &str, _pieces: &[PieceRequest]) -> Request<Body> {
         let mut req = Request::new(jd_net::empty());
         req.headers_mut()
             .insert("host", HeaderValue::from_static("stages"));
@@ -147,7 +147,7 @@
         req
     }
 
-    fn room_report(&self, _body: &[u8]) -> Option<jd_serving::RoomReport> {
+    fn room_report(&self, _body: &[u8]) -> Option<jd_serving::StorageReport> {
         None
     }
 
--- a/crates/lab/src/stages/world.rs
+++ b/crates/lab/src/stages/world.rs
@@ -14,10 +14,10 @@
 use jd_serving::Content;
 use jd_serving::JobKey;
 use jd_serving::JobStage;
-use jd_serving::PieceOrder;
+use jd_serving::PieceRequest;
 use jd_serving::PieceResult;
-use jd_serving::StageDesk;
 use jd_serving::StageJob;
+use jd_serving::StageScheduler;
 use jd_serving::StageUpstream;
 use jd_serving::UpstreamStart;
 use jd_types::MonoTime;
@@ -74,7 +74,7 @@
 }
 
 struct World {
-    desk: StageDesk,
+    desk: StageScheduler,
     now: MonoTime,
     events: BinaryHeap<Reverse<(MonoTime, u64, Event)>>,
     calls: HashMap<CallKey, BatchCall>,
@@ -88,7 +88,7 @@
 /// Plays a load before the shipped desk.
 pub fn run(load: &Load) -> Report {
     let mut world = World {
-        desk: StageDesk::default(),
+        desk: StageScheduler::default(),
         now: MonoTime::from_millis(1_000),
         events: BinaryHeap::new(),
         calls: HashMap::new(),
@@ -123,7 +123,7 @@
                 }
             }
             Event::Finish(key) => world.finish(key),
-            Event::Release(handles) => world.desk.release(handles),
+            Event::Release(handles) => world.desk.release_results(handles),
             Event::Tick => world.at(at + TICK, Event::Tick),
         }
         world.pump(load, began);
@@ -222,14 +222,14 @@
             ))
         });
         let made = CallResult::Answered(made.collect());
-        self.desk.finish(self.now, key, made);
+        self.desk.complete_call(self.now, key, made);
     }
 
     fn pump(&mut self, load: &Load, began: MonoTime) {
         self.desk.expire(self.now);
-        for question in self.desk.room_questions(self.now) {
+        for question in self.desk.storage_queries(self.now) {
             // Nobody else's results lie at these upstreams.
-            self.desk.told_room(self.now, &question, None);
+            self.desk.record_storage_report(self.now, &question, None);
         }
         while let Some(call) = self.desk.next_call(self.now) {
             let service = SERVICES.iter().position(|s| *s == call.service);
@@ -242,7 +242,7 @@
             self.at(self.now + takes, Event::Finish(call.key));
             self.calls.insert(call.key, call);
         }
-        for end in self.desk.take_ended() {
+        for end in self.desk.take_finished() {
             let Some(asked) = self.jobs.remove(&end.key) else {
                 continue;
             };
@@ -257,10 +257,10 @@
             }
         }
         // What nobody needs is told to upstreams; these have no state here.
-        drop(self.desk.take_unused());
+        drop(self.desk.take_unused_results());
     }
 
-    fn is_light(&self, piece: &PieceOrder) -> bool {
+    fn is_light(&self, piece: &PieceRequest) -> bool {
         let kind = self.kinds.get(&piece.request_id);
         let stage = kind.and_then(|n| KINDS[*n].stages.get(piece.key.stage));
         stage.is_some_and(|s| s.service == 0 && s.bytes <= LIGHT_BYTES)
--- a/crates/serving/src/batch_call.rs
+++ b/crates/serving/src/batch_call.rs
@@ -15,7 +15,7 @@
 
 /// One piece as an upstream is asked for it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct PieceOrder {
+pub struct PieceRequest {
     /// The identity of the caller's attempt.
     pub request_id: CompactString,
     /// What its request is.
@@ -23,14 +23,14 @@
     /// Which piece.
     pub key: PieceKey,
     /// How long its request waits for it.
-    pub left: Duration,
+    pub time_left: Duration,
     /// What it works on.
-    pub source: PieceSource,
+    pub input: PieceInput,
 }
 
 /// What a piece works on.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum PieceSource {
+pub enum PieceInput {
     /// What the caller named.
     Caller(CompactString),
     /// Results of earlier stages.
@@ -45,11 +45,11 @@
     /// The service that does the stage.
     pub service: CompactString,
     /// Pieces that wait for that service beside these.
-    pub waiting: usize,
+    pub queued: usize,
     /// Bytes of results at the upstream, those of this call included.
-    pub room_used: u64,
+    pub storage_used: u64,
     /// Bytes that cross availability zones for this call, as far as is known.
-    pub far_bytes: u64,
+    pub cross_zone_bytes: u64,
     /// The upstream's identity.
     pub upstream: CompactString,
     /// Which start of it is meant.
@@ -57,14 +57,14 @@
     /// Where it answers.
     pub address: SocketAddr,
     /// The pieces, in the order of the answers.
-    pub pieces: Vec<PieceOrder>,
+    pub pieces: Vec<PieceRequest>,
     /// How long to wait for the answer before the pieces go elsewhere.
-    pub patience: Duration,
+    pub timeout: Duration,
 }
 
 /// An upstream that is to tell how much room it has.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct RoomQuestion {
+pub struct StorageQuery {
     /// The service that it belongs to.
     pub service: CompactString,
     /// Its identity.
@@ -81,11 +81,11 @@
     /// Its result lies there.
     Done(CompactString),
     /// Its time had passed at its turn.
-    Late,
+    Expired,
     /// Something that it works on is gone.
-    InputGone,
+    InputMissing,
     /// The upstream has no room for the result.
-    NoRoom,
+    StorageFull,
     /// It failed.
     Failed,
 }
@@ -110,9 +110,9 @@
 
 /// What an upstream tells of itself when it is asked for its room.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct RoomReport {
+pub struct StorageReport {
     /// Free bytes for results.
-    pub free: u64,
+    pub free_bytes: u64,
     /// Which start of it answers.
     pub start: UpstreamStart,
 }
--- a/crates/serving/src/batch_upstream.rs
+++ b/crates/serving/src/batch_upstream.rs
@@ -9,7 +9,7 @@
 
 use crate::CallResult;
 use crate::UpstreamStart;
-use crate::room_watch::RoomWatch;
+use crate::untracked_storage::UntrackedStorage;
 
 /// How long an upstream is left alone after a first failure; doubled with each
 /// further one. A little more than two calls.
@@ -48,7 +48,7 @@
     open_calls: u32,
     room_used: u64,
     busy_until: MonoTime,
-    pub(crate) others: RoomWatch,
+    pub(crate) others: UntrackedStorage,
     failures: u32,
     blocked_until: MonoTime,
     /// Until when it takes nothing by its own word.
@@ -65,7 +65,7 @@
             open_calls: 0,
             room_used: 0,
             busy_until: MonoTime::ZERO,
-            others: RoomWatch::new(),
+            others: UntrackedStorage::new(),
             failures: 0,
             blocked_until: MonoTime::ZERO,
             withheld_until: MonoTime::ZERO,
--- a/crates/serving/src/expectation.rs
+++ b/crates/serving/src/estimate_bias.rs
@@ -25,7 +25,7 @@
 /// calls that leave half full and results that wait for room, made 60 of 100 of
 /// these jobs late, by less than a tenth of their objective.
 #[derive(Debug, Default)]
-pub struct Expectation {
+pub struct EstimateBias {
     off: BTreeMap<(usize, u8), Off>,
 }
 
@@ -36,7 +36,7 @@
     last: MonoTime,
 }
 
-impl Expectation {
+impl EstimateBias {
     /// What to add to the expected end of a job of that length and priority.
     pub fn correction(&self, now: MonoTime, depth: usize, priority: u8) -> Duration {
         let Some(off) = self.off.get(&(depth, priority)) else {
@@ -47,7 +47,7 @@
     }
 
     /// A job that was expected to end at `expected`, uncorrected, ended at `now`.
-    pub fn ended(&mut self, now: MonoTime, expected: MonoTime, depth: usize, priority: u8) {
+    pub fn record(&mut self, now: MonoTime, expected: MonoTime, depth: usize, priority: u8) {
         let late = now.since(expected).as_secs_f64();
         let early = expected.since(now).as_secs_f64();
         let sample = (late - early).clamp(-MOST, MOST);
--- a/crates/serving/src/evacuated_zones.rs
+++ b/crates/serving/src/evacuated_zones.rs
@@ -7,7 +7,7 @@
 use jd_types::MonoTime;
 use jd_types::Name;
 
-use crate::Reading;
+use crate::SnapshotKind;
 
 /// How long a zone stays evacuated that a copy of the store does not name: the operator
 /// writes again what the store lost.
@@ -49,16 +49,16 @@
     ///
     /// Guards against a zone that gets work again since the store came back from a copy
     /// that is older than its evacuation.
-    pub fn replace(&mut self, now: MonoTime, zones: BTreeSet<Name>, reading: Reading) -> bool {
+    pub fn replace(&mut self, now: MonoTime, zones: BTreeSet<Name>, reading: SnapshotKind) -> bool {
         let gone: Vec<Name> = self.zones.difference(&zones).cloned().collect();
         let mut changed = false;
         for zone in gone {
             match reading {
-                Reading::Restored => {
+                SnapshotKind::Restored => {
                     self.lost.insert(zone, now + WRITTEN_AGAIN_WITHIN);
                 }
-                Reading::Complete if self.lost.contains_key(&zone) => {}
-                Reading::Complete => changed |= self.take_back(now, &zone),
+                SnapshotKind::Complete if self.lost.contains_key(&zone) => {}
+                SnapshotKind::Complete => changed |= self.take_back(now, &zone),
             }
         }
         for zone in zones {
--- a/crates/serving/src/job_end.rs
+++ b/crates/serving/src/finished_job.rs
@@ -28,7 +28,7 @@
 
 /// How a job ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct JobEnd {
+pub struct FinishedJob {
     /// Which job.
     pub key: JobKey,
     /// The results that the request needs, or why there are none.
--- a/crates/serving/src/first_sources.rs
+++ b/crates/serving/src/first_sources.rs
@@ -8,7 +8,7 @@
 use crate::InstanceEntry;
 use crate::Shard;
 use crate::Strength;
-use crate::owners;
+use crate::rank_owners;
 
 /// Instances in a sample of one in sixteen that tell of a large fleet. In a smaller one
 /// each may read the list of all.
@@ -47,7 +47,7 @@
         };
         // One that has started again may be in it twice.
         let mut left: Vec<SocketAddr> = Vec::with_capacity(MOST);
-        for entry in owners(&everywhere, sample.iter(), 2 * MOST) {
+        for entry in rank_owners(&everywhere, sample.iter(), 2 * MOST) {
             if left.len() < MOST && !left.contains(&entry.peers) {
                 left.push(entry.peers);
             }
--- a/crates/serving/src/instance_directory.rs
+++ b/crates/serving/src/instance_directory.rs
@@ -9,10 +9,10 @@
 use jd_types::MonoTime;
 use jd_types::Name;
 
-use crate::Reading;
+use crate::SnapshotKind;
 use crate::StoreRevision;
 use crate::Strength;
-use crate::visits::Visits;
+use crate::visit_counter::VisitCounter;
 
 /// How long an instance may stay silent before it is passed over. Three missed
 /// heartbeats; a caller sent to a dead instance loses a second.
@@ -81,7 +81,7 @@
     by_peers: HashMap<SocketAddr, Incarnation>,
     /// Those that the store does not list.
     unlisted: HashSet<Incarnation>,
-    visits: Visits,
+    visits: VisitCounter,
 }
 
 #[derive(Debug)]
@@ -163,15 +163,15 @@
     /// Those that a copy of the store lacks write their entries again, and stay listed
     /// until they had time for it. Else a large fleet, in which each is watched by a few,
     /// would lose all that started lately from sight at once.
-    pub fn relist(&mut self, now: MonoTime, ids: &[Incarnation], reading: Reading) {
+    pub fn relist(&mut self, now: MonoTime, ids: &[Incarnation], reading: SnapshotKind) {
         let ids: HashSet<Incarnation> = ids.iter().copied().collect();
         for (id, known) in &mut self.known {
             self.visits.add(1);
             match reading {
                 _ if ids.contains(id) => known.lost_at = None,
-                Reading::Restored => known.lost_at = Some(now),
-                Reading::Complete if known.lost_at.is_some() => {}
-                Reading::Complete => {
+                SnapshotKind::Restored => known.lost_at = Some(now),
+                SnapshotKind::Complete if known.lost_at.is_some() => {}
+                SnapshotKind::Complete => {
                     known.listed = false;
                     self.unlisted.insert(*id);
                 }
--- a/crates/serving/src/news_source.rs
+++ b/crates/serving/src/news_source.rs
@@ -4,7 +4,7 @@
 
 use crate::InstanceEntry;
 use crate::Shard;
-use crate::owners;
+use crate::rank_owners;
 
 /// Up to this many instances each watches the store by itself and exchanges
 /// heartbeats with all others. Of 75, each would make and answer 370 heartbeats
@@ -93,7 +93,7 @@
         part: 0,
         parts: 1,
     };
-    let order = owners(&everywhere, instances, CANDIDATES).into_iter();
+    let order = rank_owners(&everywhere, instances, CANDIDATES).into_iter();
     order.map(|e| e.incarnation).collect()
 }
 
--- a/crates/serving/src/desk_call.rs
+++ b/crates/serving/src/open_call.rs
@@ -10,7 +10,7 @@
 
 /// Results that will have been read by then.
 #[derive(Debug)]
-pub(crate) struct Reading {
+pub(crate) struct PendingRelease {
     pub(crate) until: MonoTime,
     pub(crate) job: JobKey,
     pub(crate) stage: usize,
--- a/crates/serving/src/rank.rs
+++ b/crates/serving/src/rank.rs
@@ -7,7 +7,7 @@
 
 /// Whether a piece's job can still be in time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Chance {
+pub(crate) enum Feasibility {
     /// It can.
     InTime,
     /// It cannot, but earlier stages have been done for it. Left behind, their
@@ -21,18 +21,18 @@
 /// first, and among them those that have to start first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Rank {
-    pub(crate) chance: Chance,
+    pub(crate) chance: Feasibility,
     pub(crate) start_by: MonoTime,
     pub(crate) job: JobKey,
     pub(crate) piece: PieceKey,
 }
 
-impl Chance {
-    pub(crate) fn of(is_late: bool, is_first: bool) -> Chance {
+impl Feasibility {
+    pub(crate) fn of(is_late: bool, is_first: bool) -> Feasibility {
         match (is_late, is_first) {
-            (false, _) => Chance::InTime,
-            (true, false) => Chance::LateBegun,
-            (true, true) => Chance::Late,
+            (false, _) => Feasibility::InTime,
+            (true, false) => Feasibility::LateBegun,
+            (true, true) => Feasibility::Late,
         }
     }
 }
--- a/crates/serving/src/recent_runs.rs
+++ b/crates/serving/src/recent_runs.rs
@@ -39,7 +39,7 @@
 
 impl RecentRuns {
     /// A request ran to its end at a service.
-    pub fn note(&mut self, now: MonoTime, service: &str, content: Content) {
+    pub fn record(&mut self, now: MonoTime, service: &str, content: Content) {
         while self.order.len() >= MOST
             || self.order.front().is_some_and(|(at, ..)| is_old(now, *at))
         {
@@ -50,7 +50,7 @@
     }
 
     /// The last runs of a request that ended well, one for each service.
-    pub fn of(&self, now: MonoTime, content: Content) -> Vec<CompletedRun> {
+    pub fn runs_of(&self, now: MonoTime, content: Content) -> Vec<CompletedRun> {
         let own = self.last.iter().filter(|((_, c), _)| *c == content);
         let recent = own.filter(|(_, at)| !is_old(now, **at));
         let runs = recent.map(|((service, _), at)| CompletedRun {
--- a/crates/serving/src/returning.rs
+++ b/crates/serving/src/refused_requests.rs
@@ -20,7 +20,7 @@
 /// somebody who could still have been in time, and was late all the same: of a
 /// burst's answers one in eight.
 #[derive(Debug, Default)]
-pub(crate) struct Returning {
+pub(crate) struct RefusedRequests {
     refused: HashMap<Content, Refused>,
 }
 
@@ -31,7 +31,7 @@
     deadline: MonoTime,
 }
 
-impl Returning {
+impl RefusedRequests {
     /// The job was refused.
     pub(crate) fn refused(&mut self, now: MonoTime, job: &StageJob) {
         if self.refused.len() >= MOST {
--- a/crates/serving/src/result_room.rs
+++ b/crates/serving/src/result_storage.rs
@@ -15,11 +15,11 @@
 /// are idle. So results are counted here, and no piece is sent where its result
 /// would not fit.
 #[derive(Debug, Default)]
-pub(crate) struct ResultRoom {
+pub(crate) struct ResultStorage {
     held: HashMap<CompactString, (Place, MonoTime)>,
 }
 
-impl ResultRoom {
+impl ResultStorage {
     /// A result lies at an upstream of a service until it is given up or `until`.
     pub(crate) fn put(
         &mut self,
--- a/crates/serving/src/desk_job.rs
+++ b/crates/serving/src/scheduled_job.rs
@@ -5,14 +5,14 @@
 use compact_str::CompactString;
 use jd_types::MonoTime;
 
+use crate::PieceInput;
 use crate::PieceKey;
-use crate::PieceOrder;
-use crate::PieceSource;
+use crate::PieceRequest;
 use crate::stage_job::JobProgress;
 
 /// One job at the desk: how far it is and what went wrong with it.
 #[derive(Debug)]
-pub(crate) struct Job {
+pub(crate) struct ScheduledJob {
     pub(crate) progress: JobProgress,
     pub(crate) tries: HashMap<PieceKey, u32>,
     pub(crate) starts_over: u32,
@@ -22,7 +22,7 @@
     pub(crate) expected: MonoTime,
 }
 
-impl Job {
+impl ScheduledJob {
     pub(crate) fn is_first(&self, piece: PieceKey) -> bool {
         self.progress.job().stages[piece.stage].after.is_empty()
     }
@@ -38,18 +38,18 @@
         self.progress.job().stages[piece.stage].result_bytes
     }
 
-    pub(crate) fn order(&self, now: MonoTime, piece: PieceKey) -> PieceOrder {
+    pub(crate) fn order(&self, now: MonoTime, piece: PieceKey) -> PieceRequest {
         let job = self.progress.job();
         let source = match job.stages[piece.stage].after.is_empty() {
-            true => PieceSource::Caller(job.piece_key.clone()),
-            false => PieceSource::Results(self.progress.inputs(piece.stage)),
+            true => PieceInput::Caller(job.piece_key.clone()),
+            false => PieceInput::Results(self.progress.inputs(piece.stage)),
         };
-        PieceOrder {
+        PieceRequest {
             request_id: job.request_id.clone(),
             content: job.content,
             key: piece,
-            left: job.deadline.since(now),
-            source,
+            time_left: job.deadline.since(now),
+            input: source,
         }
     }
 }
--- a/crates/serving/src/desk_estimates.rs
+++ b/crates/serving/src/scheduler_estimates.rs
@@ -7,9 +7,9 @@
 
 use crate::JobFailure;
 use crate::JobKey;
-use crate::StageDesk;
-use crate::desk_job::Job;
-use crate::rank::Chance;
+use crate::StageScheduler;
+use crate::rank::Feasibility;
+use crate::scheduled_job::ScheduledJob;
 use crate::stage_job::JobProgress;
 
 /// The part of its spare time, in hundredths, by which a stage beside a longer
@@ -22,7 +22,7 @@
 /// part as many are served, and more are held in vain.
 const LATE_WAIT_PERCENT: u32 = 30;
 
-impl StageDesk {
+impl StageScheduler {
     /// Refuses at once what cannot be in time and would wait long. Held and
     /// refused later it would have cost the caller its time as well.
     pub(crate) fn check_wait(
@@ -59,7 +59,7 @@
     /// Served in the order of their deadlines, all requests end just too late.
     pub(crate) fn expected_end(&self, now: MonoTime, progress: &JobProgress) -> MonoTime {
         let priority = progress.job().priority;
-        let rival = |j: &Job| !j.beside && j.progress.job().priority <= priority;
+        let rival = |j: &ScheduledJob| !j.beside && j.progress.job().priority <= priority;
         self.end_behind(now, progress, rival)
     }
 
@@ -69,7 +69,7 @@
         &self,
         now: MonoTime,
         progress: &JobProgress,
-        rivals: impl Fn(&Job) -> bool,
+        rivals: impl Fn(&ScheduledJob) -> bool,
     ) -> MonoTime {
         let spec = progress.job();
         let mut ends: Vec<MonoTime> = Vec::with_capacity(spec.stages.len());
@@ -91,7 +91,7 @@
 
     /// Pieces of the `rivals` that no upstream was asked for yet, also those of stages
     /// that have not begun.
-    fn ahead(&self, service: &str, rivals: impl Fn(&Job) -> bool) -> usize {
+    fn ahead(&self, service: &str, rivals: impl Fn(&ScheduledJob) -> bool) -> usize {
         let jobs = self.jobs.values().filter(|j| rivals(j));
         jobs.map(|j| j.progress.unasked(service)).sum()
     }
@@ -126,7 +126,10 @@
     /// not begun that lead there: their results would expire before their turn.
     pub(crate) fn clogged(&self) -> Vec<CompactString> {
         let clogged = self.queues.iter().filter(|(_, q)| {
-            let begun = q.waiting.keys().filter(|r| r.chance == Chance::LateBegun);
+            let begun = q
+                .waiting
+                .keys()
+                .filter(|r| r.chance == Feasibility::LateBegun);
             begun.count() > q.spec.pieces
         });
         clogged.map(|(service, _)| service.clone()).collect()
--- a/crates/serving/src/desk_restarts.rs
+++ b/crates/serving/src/scheduler_restarts.rs
@@ -7,14 +7,14 @@
 use crate::CallKey;
 use crate::JobKey;
 use crate::PieceKey;
-use crate::StageDesk;
+use crate::StageScheduler;
 use crate::StageUpstream;
 use crate::UpstreamStart;
 use crate::batch_upstream::BatchUpstream;
 use crate::rank::Rank;
-use crate::stage_queue::Queue;
+use crate::stage_queue::StageQueue;
 
-impl StageDesk {
+impl StageScheduler {
     /// A service's upstreams, as they are now. What is known of one stays unless it
     /// has started again.
     pub fn set_upstreams(
@@ -25,7 +25,7 @@
         upstreams: impl Iterator<Item = StageUpstream>,
     ) {
         let queue = self.queues.entry(service.into());
-        let queue = queue.or_insert_with(|| Queue::new(spec));
+        let queue = queue.or_insert_with(|| StageQueue::new(spec));
         queue.spec = spec;
         let mut old = std::mem::take(&mut queue.upstreams);
         let mut started_again = Vec::new();
--- a/crates/serving/src/desk_results.rs
+++ b/crates/serving/src/scheduler_results.rs
@@ -12,9 +12,9 @@
 use crate::JobKey;
 use crate::PieceKey;
 use crate::PieceResult;
-use crate::StageDesk;
-use crate::desk_call::OpenCall;
-use crate::desk_call::Reading;
+use crate::StageScheduler;
+use crate::open_call::OpenCall;
+use crate::open_call::PendingRelease;
 use crate::rank::Rank;
 
 /// How often one piece is tried. A third failure is rarely the upstream's.
@@ -31,7 +31,7 @@
 /// How long a piece waits after an upstream had no room for its result.
 const ROOM_PAUSE: Duration = Duration::from_millis(60);
 
-impl StageDesk {
+impl StageScheduler {
     /// Counts the results of a call against the room of their upstream. One
     /// that did not answer may have made all of them.
     pub(crate) fn count_room(
@@ -59,7 +59,7 @@
             CallResult::Full | CallResult::Withheld(_) | CallResult::Gone => {}
         }
         let refused = match result {
-            CallResult::Answered(results) => results.contains(&PieceResult::NoRoom),
+            CallResult::Answered(results) => results.contains(&PieceResult::StorageFull),
             _ => false,
         };
         let queue = self.queues.get_mut(place.0);
@@ -98,9 +98,9 @@
     ) {
         match result {
             PieceResult::Done(handle) => self.take_handle(now, key, piece, handle),
-            PieceResult::Late => self.fail(key, JobFailure::TooLate),
-            PieceResult::NoRoom => self.ask_again(now, key, piece, now + ROOM_PAUSE),
-            PieceResult::InputGone => {
+            PieceResult::Expired => self.fail(key, JobFailure::TooLate),
+            PieceResult::StorageFull => self.ask_again(now, key, piece, now + ROOM_PAUSE),
+            PieceResult::InputMissing => {
                 self.shared_until = now + SHARED_FOR;
                 self.start_over(now, key, piece);
             }
@@ -117,7 +117,7 @@
         job.progress.done(piece, handle);
         if job.progress.is_done(piece.stage) {
             for read in job.progress.job().stages[piece.stage].after.clone() {
-                self.reading.push(Reading {
+                self.reading.push(PendingRelease {
                     until: now,
                     job: key,
                     stage: read,
@@ -189,7 +189,7 @@
             let stale = |r: &Rank| r.job == key && r.piece.stage == piece.stage;
             queue.waiting.retain(|rank, _| !stale(rank));
         }
-        self.release(left);
+        self.release_results(left);
         self.advance(now, key);
     }
 
@@ -198,7 +198,7 @@
     /// again. Given up early, a call that fails has them made again.
     pub(crate) fn release_read(&mut self, now: MonoTime) {
         let due = self.reading.extract_if(.., |r| r.until <= now);
-        let due: Vec<Reading> = due.collect();
+        let due: Vec<PendingRelease> = due.collect();
         for reading in due {
             let Some(job) = self.jobs.get(&reading.job) else {
                 continue;
@@ -212,12 +212,12 @@
                     || !self.is_scarce(&job.progress.results_of(reading.stage)))
             {
                 let until = now + INPUTS_READ;
-                self.reading.push(Reading { until, ..reading });
+                self.reading.push(PendingRelease { until, ..reading });
                 continue;
             }
             let job = self.jobs.get_mut(&reading.job);
             let handles = job.map_or_else(Vec::new, |j| j.progress.read(reading.stage));
-            self.release(handles);
+            self.release_results(handles);
         }
     }
 
--- a/crates/serving/src/desk_rooms.rs
+++ b/crates/serving/src/scheduler_storage.rs
@@ -2,19 +2,19 @@
 
 use jd_types::MonoTime;
 
-use crate::RoomQuestion;
-use crate::RoomReport;
-use crate::StageDesk;
+use crate::StageScheduler;
+use crate::StorageQuery;
+use crate::StorageReport;
 
-impl StageDesk {
+impl StageScheduler {
     /// The upstreams that are to tell how much room they have.
-    pub fn room_questions(&mut self, now: MonoTime) -> Vec<RoomQuestion> {
+    pub fn storage_queries(&mut self, now: MonoTime) -> Vec<StorageQuery> {
         let mut questions = Vec::new();
         for (service, queue) in &mut self.queues {
             let keep = queue.spec.keep;
             let asked = queue.upstreams.iter_mut();
             let asked = asked.filter_map(|u| u.others.asks(now, keep).then_some(u));
-            questions.extend(asked.map(|u| RoomQuestion {
+            questions.extend(asked.map(|u| StorageQuery {
                 service: service.clone(),
                 upstream: u.id.clone(),
                 start: u.start,
@@ -25,14 +25,19 @@
     }
 
     /// What an upstream told of its room; none if it did not.
-    pub fn told_room(&mut self, now: MonoTime, asked: &RoomQuestion, told: Option<RoomReport>) {
+    pub fn record_storage_report(
+        &mut self,
+        now: MonoTime,
+        asked: &StorageQuery,
+        told: Option<StorageReport>,
+    ) {
         if let Some(report) = told {
             self.told_start(now, &asked.service, &asked.upstream, report.start);
         }
         if let Some(queue) = self.queues.get_mut(&asked.service) {
             let all = queue.spec.room_bytes;
             if let Some(upstream) = queue.upstream(&asked.upstream) {
-                upstream.told_room(told.map(|t| t.free), all);
+                upstream.told_room(told.map(|t| t.free_bytes), all);
             }
         }
     }
--- a/crates/serving/src/desk_zones.rs
+++ b/crates/serving/src/scheduler_zones.rs
@@ -5,8 +5,8 @@
 use jd_types::Name;
 
 use crate::JobKey;
-use crate::StageDesk;
-use crate::desk_job::Job;
+use crate::StageScheduler;
+use crate::scheduled_job::ScheduledJob;
 use crate::stage_job::JobProgress;
 
 /// The part of its spare time, in hundredths, that a piece waits for an upstream in
@@ -18,7 +18,7 @@
 /// The longest such wait: a call, after which each upstream is free once.
 const NEAR_WAIT_MOST: Duration = Duration::from_millis(350);
 
-impl StageDesk {
+impl StageScheduler {
     /// How long a piece with so much spare time waits for an upstream in its zone: not
     /// at all while what it works on takes room that is scarce.
     ///
@@ -39,7 +39,7 @@
 
     /// The zone where a piece of a stage is best worked on: where the fewest bytes
     /// cross zones, of its inputs and its result. Every piece reads all inputs.
-    pub(crate) fn wanted_zone(&self, job: &Job, stage: usize) -> Option<Name> {
+    pub(crate) fn wanted_zone(&self, job: &ScheduledJob, stage: usize) -> Option<Name> {
         // Of equal sums the first counts, an input's.
         let most = self.zone_bytes(job, stage).into_iter().rev();
         most.max_by_key(|(_, size)| *size).map(|(zone, _)| zone)
@@ -47,7 +47,7 @@
 
     /// The bytes that a piece of a stage reads, by the zone where they lie, and
     /// last those of its result, where that is wanted.
-    fn zone_bytes(&self, job: &Job, stage: usize) -> Vec<(Name, u64)> {
+    fn zone_bytes(&self, job: &ScheduledJob, stage: usize) -> Vec<(Name, u64)> {
         let mut bytes: Vec<(Name, u64)> = Vec::new();
         let mut add = |zone: Name, size: u64| match bytes.iter_mut().find(|(z, _)| *z == zone) {
             Some((_, sum)) => *sum += size,
--- a/crates/serving/src/shard.rs
+++ b/crates/serving/src/shard.rs
@@ -36,7 +36,7 @@
 
 impl Shard {
     /// Those of a service's upstreams that it has; `zone` tells where one stands.
-    pub fn of_service<T>(
+    pub fn select_upstreams<T>(
         &self,
         upstreams: impl Iterator<Item = T>,
         zone: impl Fn(&T) -> &Name,
@@ -97,7 +97,7 @@
     }
 
     /// True if the upstreams are divided into this shard among others.
-    pub fn has(&self, shard: &Shard) -> bool {
+    pub fn contains(&self, shard: &Shard) -> bool {
         self.shards.contains_key(shard)
     }
 
--- a/crates/serving/src/owner.rs
+++ b/crates/serving/src/shard_owners.rs
@@ -49,7 +49,7 @@
 ///
 /// No lease is needed. Two owners for a moment fill smaller batches; no piece
 /// does harm when it is done twice.
-pub fn owners<'a>(
+pub fn rank_owners<'a>(
     shard: &Shard,
     instances: impl Iterator<Item = &'a InstanceEntry>,
     most: usize,
--- a/crates/serving/src/reading.rs
+++ b/crates/serving/src/snapshot_kind.rs
@@ -2,7 +2,7 @@
 
 /// What a whole reading of the store may lack.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reading {
+pub enum SnapshotKind {
     /// Nothing that was ever acknowledged.
     Complete,
     /// It is the first one since the store came back from an older copy: what was written
--- a/crates/serving/src/stage_job.rs
+++ b/crates/serving/src/stage_job.rs
@@ -44,7 +44,7 @@
 
 impl StageJob {
     /// Bytes of the results that the request itself works on.
-    pub fn handed_on(&self) -> u64 {
+    pub fn output_bytes(&self) -> u64 {
         let numbered = self.stages.iter().enumerate();
         let last = numbered.filter(|(n, _)| !self.stages.iter().any(|s| s.after.contains(n)));
         last.map(|(_, s)| s.result_bytes * s.pieces as u64).sum()
--- a/crates/serving/src/stage_queue.rs
+++ b/crates/serving/src/stage_queue.rs
@@ -11,10 +11,10 @@
 use crate::BatchSpec;
 use crate::JobKey;
 use crate::batch_upstream::BatchUpstream;
-use crate::desk_job::Job;
-use crate::rank::Chance;
+use crate::rank::Feasibility;
 use crate::rank::Rank;
-use crate::zone_turns::ZoneTurns;
+use crate::scheduled_job::ScheduledJob;
+use crate::zone_availability::ZoneAvailability;
 
 /// A new wait counts one in this many: about the pieces of a few calls.
 const WAIT_WEIGHT: u32 = 64;
@@ -33,7 +33,7 @@
 
 /// A piece that waits.
 #[derive(Debug)]
-pub(crate) struct Waiting {
+pub(crate) struct QueuedPiece {
     pub(crate) since: MonoTime,
     pub(crate) not_before: MonoTime,
     /// When it has to start for its job to be in time, whatever its priority.
@@ -44,7 +44,7 @@
     pub(crate) anywhere_from: MonoTime,
 }
 
-impl Waiting {
+impl QueuedPiece {
     /// True if the piece loses nothing in `zone`.
     fn is_near(&self, zone: &Name) -> bool {
         self.zone.as_ref().is_none_or(|z| z == zone)
@@ -53,7 +53,7 @@
     /// True if an upstream in `zone` may work on the piece now: one of its own zone,
     /// or any if none of its own is free, or will be in the time that it waits for
     /// that. To wait longer for one that comes too late gains nothing.
-    pub(crate) fn suits(&self, now: MonoTime, zone: &Name, turns: &ZoneTurns) -> bool {
+    pub(crate) fn suits(&self, now: MonoTime, zone: &Name, turns: &ZoneAvailability) -> bool {
         let near = self.zone.as_ref().and_then(|z| turns.next(z));
         let worth_waiting = near.is_some_and(|at| at <= now.max(self.anywhere_from));
         self.not_before <= now && (self.is_near(zone) || !worth_waiting)
@@ -62,19 +62,19 @@
 
 /// The pieces that wait for one service, and its upstreams.
 #[derive(Debug)]
-pub(crate) struct Queue {
+pub(crate) struct StageQueue {
     pub(crate) spec: BatchSpec,
     pub(crate) upstreams: Vec<BatchUpstream>,
-    pub(crate) waiting: BTreeMap<Rank, Waiting>,
+    pub(crate) waiting: BTreeMap<Rank, QueuedPiece>,
     /// What calls took lately, as a part of what the operator's figures say.
     pub(crate) pace: f64,
     /// How long pieces that could be in time have waited lately.
     pub(crate) usual_wait: Duration,
 }
 
-impl Queue {
-    pub(crate) fn new(spec: BatchSpec) -> Queue {
-        Queue {
+impl StageQueue {
+    pub(crate) fn new(spec: BatchSpec) -> StageQueue {
+        StageQueue {
             spec,
             upstreams: Vec::new(),
             waiting: BTreeMap::new(),
@@ -119,21 +119,22 @@
     }
 
     pub(crate) fn note_wait(&mut self, rank: &Rank, wait: Duration) {
-        if rank.chance == Chance::InTime {
+        if rank.chance == Feasibility::InTime {
             self.usual_wait = (self.usual_wait * (WAIT_WEIGHT - 1) + wait) / WAIT_WEIGHT;
         }
     }
 
     /// Puts behind the others what can no longer be in time. Served first, it
     /// would make the next one late as well, and so all of them.
-    pub(crate) fn mark_late(&mut self, now: MonoTime, jobs: &HashMap<JobKey, Job>) {
-        let over =
-            |(rank, w): &(&Rank, &Waiting)| rank.chance == Chance::InTime && w.start_by < now;
+    pub(crate) fn mark_late(&mut self, now: MonoTime, jobs: &HashMap<JobKey, ScheduledJob>) {
+        let over = |(rank, w): &(&Rank, &QueuedPiece)| {
+            rank.chance == Feasibility::InTime && w.start_by < now
+        };
         let late: Vec<Rank> = self.waiting.iter().filter(over).map(|(r, _)| *r).collect();
         for rank in late {
             let first = jobs.get(&rank.job).is_none_or(|j| j.is_first(rank.piece));
             if let Some(waiting) = self.waiting.remove(&rank) {
-                let chance = Chance::of(true, first);
+                let chance = Feasibility::of(true, first);
                 self.waiting.insert(Rank { chance, ..rank }, waiting);
             }
         }
@@ -156,7 +157,7 @@
     pub(crate) fn next_batch(
         &self,
         now: MonoTime,
-        jobs: &HashMap<JobKey, Job>,
+        jobs: &HashMap<JobKey, ScheduledJob>,
         clogged: &[CompactString],
     ) -> Option<(usize, Vec<Rank>)> {
         let mut waiting = self.waiting.iter();
@@ -180,23 +181,28 @@
     }
 
     /// When the upstreams that are well can take another call.
-    fn turns(&self, now: MonoTime) -> ZoneTurns {
+    fn turns(&self, now: MonoTime) -> ZoneAvailability {
         let well = self.upstreams.iter().filter(|u| !u.is_blocked(now));
         let well = well.filter(|u| !u.others.is_unknown(now));
         let turn = |u: &BatchUpstream| (u.zone.clone(), now + u.free_in(now, self.spec.slots));
-        ZoneTurns::new(well.map(turn))
+        ZoneAvailability::new(well.map(turn))
     }
 
     /// Those of the waiting pieces that an upstream may work on, in the order in
     /// which they are taken: what is near or cannot wait for another call goes
     /// before what is far, so that a backlog sorts itself by zone while nothing
     /// that could be in time becomes late for it.
-    fn ready_for(&self, now: MonoTime, upstream: &BatchUpstream, turns: &ZoneTurns) -> Vec<&Rank> {
+    fn ready_for(
+        &self,
+        now: MonoTime,
+        upstream: &BatchUpstream,
+        turns: &ZoneAvailability,
+    ) -> Vec<&Rank> {
         let another_call = now + self.spec.call_time(self.spec.pieces);
-        let suits = |(_, w): &(&Rank, &Waiting)| w.suits(now, &upstream.zone, turns);
+        let suits = |(_, w): &(&Rank, &QueuedPiece)| w.suits(now, &upstream.zone, turns);
         let ready = self.waiting.iter().filter(suits);
         let first =
-            |(_, w): &(&Rank, &Waiting)| w.is_near(&upstream.zone) || w.start_by < another_call;
+            |(_, w): &(&Rank, &QueuedPiece)| w.is_near(&upstream.zone) || w.start_by < another_call;
         let (first, far): (Vec<_>, Vec<_>) = ready.partition(first);
         first.into_iter().chain(far).map(|(rank, _)| rank).collect()
     }
@@ -209,8 +215,8 @@
         &self,
         now: MonoTime,
         upstream: &BatchUpstream,
-        turns: &ZoneTurns,
-        jobs: &HashMap<JobKey, Job>,
+        turns: &ZoneAvailability,
+        jobs: &HashMap<JobKey, ScheduledJob>,
         clogged: &[CompactString],
     ) -> Vec<Rank> {
         let usable = self.spec.room_bytes * USED_ROOM_PERCENT / 100;
@@ -225,7 +231,7 @@
             let Some((rank, job)) = first else {
                 continue;
             };
-            if rank.chance == Chance::Late && job.leads_to(clogged) {
+            if rank.chance == Feasibility::Late && job.leads_to(clogged) {
                 continue;
             }
             let bytes = job.result_bytes(rank.piece).max(1);
--- a/crates/serving/src/stage_desk.rs
+++ b/crates/serving/src/stage_scheduler.rs
@@ -11,24 +11,24 @@
 use crate::CallKey;
 use crate::CallResult;
 use crate::Content;
-use crate::JobEnd;
+use crate::FinishedJob;
 use crate::JobFailure;
 use crate::JobKey;
 use crate::PieceKey;
 use crate::StageJob;
-use crate::desk_call::OpenCall;
-use crate::desk_call::Reading;
-use crate::desk_job::Job;
-use crate::desk_results::INPUTS_READ;
-use crate::desk_results::SHARED_FOR;
-use crate::expectation::Expectation;
-use crate::rank::Chance;
+use crate::estimate_bias::EstimateBias;
+use crate::open_call::OpenCall;
+use crate::open_call::PendingRelease;
+use crate::rank::Feasibility;
 use crate::rank::Rank;
-use crate::result_room::ResultRoom;
-use crate::returning::Returning;
+use crate::refused_requests::RefusedRequests;
+use crate::result_storage::ResultStorage;
+use crate::scheduled_job::ScheduledJob;
+use crate::scheduler_results::INPUTS_READ;
+use crate::scheduler_results::SHARED_FOR;
 use crate::stage_job::JobProgress;
-use crate::stage_queue::Queue;
-use crate::stage_queue::Waiting;
+use crate::stage_queue::QueuedPiece;
+use crate::stage_queue::StageQueue;
 
 /// What a step of priority is worth in waiting. About a call of the users'
 /// stages: enough that a burst of the less urgent does not delay the more
@@ -43,26 +43,26 @@
 /// all pieces wait in one place and are bound to an upstream only when it is
 /// free, so that calls fill by themselves as load grows.
 #[derive(Debug, Default)]
-pub struct StageDesk {
-    pub(crate) queues: HashMap<CompactString, Queue>,
-    pub(crate) jobs: HashMap<JobKey, Job>,
+pub struct StageScheduler {
+    pub(crate) queues: HashMap<CompactString, StageQueue>,
+    pub(crate) jobs: HashMap<JobKey, ScheduledJob>,
     pub(crate) calls: HashMap<CallKey, OpenCall>,
-    pub(crate) ended: Vec<JobEnd>,
+    pub(crate) ended: Vec<FinishedJob>,
     pub(crate) unused: Vec<CompactString>,
-    pub(crate) room: ResultRoom,
-    pub(crate) reading: Vec<Reading>,
-    pub(crate) expectation: Expectation,
-    pub(crate) returning: Returning,
+    pub(crate) room: ResultStorage,
+    pub(crate) reading: Vec<PendingRelease>,
+    pub(crate) expectation: EstimateBias,
+    pub(crate) returning: RefusedRequests,
     pub(crate) shared_until: MonoTime,
     pub(crate) numbers: u64,
 }
 
-impl StageDesk {
+impl StageScheduler {
     /// Takes the stages of a request in, or says at once why not.
     pub fn submit(&mut self, now: MonoTime, job: StageJob) -> Result<JobKey, JobFailure> {
         let mut used = job.stages.iter().filter(|s| s.pieces > 0);
         let is_served = |service| {
-            let queue: Option<&Queue> = self.queues.get(service);
+            let queue: Option<&StageQueue> = self.queues.get(service);
             queue.is_some_and(|q| !q.upstreams.is_empty())
         };
         if !used.all(|s| is_served(&s.service)) {
@@ -85,7 +85,7 @@
         }
         self.numbers += 1;
         let key = JobKey(self.numbers);
-        let job = Job {
+        let job = ScheduledJob {
             progress,
             tries: HashMap::new(),
             starts_over: 0,
@@ -100,7 +100,7 @@
     /// Nobody waits for the job any more.
     pub fn cancel(&mut self, key: JobKey) {
         if let Some(job) = self.jobs.remove(&key) {
-            self.release(job.progress.all());
+            self.release_results(job.progress.all());
             self.forget_pieces(key);
         }
     }
@@ -112,7 +112,7 @@
     }
 
     /// A call came back.
-    pub fn finish(&mut self, now: MonoTime, key: CallKey, result: CallResult) {
+    pub fn complete_call(&mut self, now: MonoTime, key: CallKey, result: CallResult) {
         let Some(call) = self.calls.remove(&key) else {
             return;
         };
@@ -181,7 +181,7 @@
     /// The jobs whose time is over, and those with a piece that waits for a call which
     /// cannot bring their end before that any more; how each is to end.
     fn too_late(&self, now: MonoTime) -> BTreeMap<JobKey, JobFailure> {
-        let over = |job: &Job| job.progress.job().deadline <= now;
+        let over = |job: &ScheduledJob| job.progress.job().deadline <= now;
         let over = self.jobs.iter().filter(|(_, job)| over(job));
         let over = over.map(|(key, _)| (*key, JobFailure::TooLate));
         let worthless = self.queues.values().flat_map(|queue| {
@@ -205,7 +205,7 @@
     fn move_stranded(&mut self) {
         let emptied = self.queues.iter().filter(|(_, q)| q.upstreams.is_empty());
         let emptied: Vec<&CompactString> = emptied.map(|(service, _)| service).collect();
-        let needs = |job: &Job| emptied.iter().any(|s| job.progress.unasked(s) > 0);
+        let needs = |job: &ScheduledJob| emptied.iter().any(|s| job.progress.unasked(s) > 0);
         let stranded = self.jobs.iter().filter(|(_, job)| needs(job));
         let stranded: Vec<JobKey> = stranded.map(|(key, _)| *key).collect();
         for key in stranded {
@@ -215,8 +215,8 @@
 
     /// Ends the jobs of requests that are kept from upstreams from now on.
     /// `left` tells for how long.
-    pub fn quarantine(&mut self, left: impl Fn(Content) -> Option<Duration>) {
-        let left = |job: &Job| left(job.progress.job().content);
+    pub fn fail_quarantined(&mut self, left: impl Fn(Content) -> Option<Duration>) {
+        let left = |job: &ScheduledJob| left(job.progress.job().content);
         let kept = self.jobs.iter();
         let kept = kept.filter_map(|(key, job)| Some((*key, left(job)?)));
         let kept: Vec<(JobKey, Duration)> = kept.collect();
@@ -226,29 +226,29 @@
     }
 
     /// True if a result is counted here.
-    pub fn holds(&self, handle: &str) -> bool {
+    pub fn holds_result(&self, handle: &str) -> bool {
         self.room.place(handle).is_some()
     }
 
     /// Nobody works on these results any more.
-    pub fn release(&mut self, handles: Vec<CompactString>) {
+    pub fn release_results(&mut self, handles: Vec<CompactString>) {
         for handle in handles {
             self.discard(handle);
         }
     }
 
     /// The jobs that ended since the last question.
-    pub fn take_ended(&mut self) -> Vec<JobEnd> {
+    pub fn take_finished(&mut self) -> Vec<FinishedJob> {
         std::mem::take(&mut self.ended)
     }
 
     /// Results that nobody needs any more, since the last question.
-    pub fn take_unused(&mut self) -> Vec<CompactString> {
+    pub fn take_unused_results(&mut self) -> Vec<CompactString> {
         std::mem::take(&mut self.unused)
     }
 
     /// True if time alone may bring something to decide, or something is to be told.
-    pub fn is_waiting(&self) -> bool {
+    pub fn has_pending_work(&self) -> bool {
         let to_tell = !self.ended.is_empty() || !self.unused.is_empty();
         let waiting = || self.queues.values().any(|q| !q.waiting.is_empty());
         to_tell || !self.reading.is_empty() || waiting()
@@ -263,11 +263,11 @@
                 if !job.beside {
                     let (depth, priority) = (job.progress.depth(), job.progress.job().priority);
                     let expected = job.expected;
-                    self.expectation.ended(now, expected, depth, priority);
+                    self.expectation.record(now, expected, depth, priority);
                 }
                 self.jobs.remove(&key);
                 let outcome = Ok(results);
-                self.ended.push(JobEnd { key, outcome });
+                self.ended.push(FinishedJob { key, outcome });
                 return;
             }
             let ready = job.progress.start_ready();
@@ -300,14 +300,14 @@
         let start_by = spec.objective.before(path);
         let hopeless = job.beside || start_by < now;
         let rank = Rank {
-            chance: Chance::of(hopeless, spec.stages[piece.stage].after.is_empty()),
+            chance: Feasibility::of(hopeless, spec.stages[piece.stage].after.is_empty()),
             start_by: start_by + PRIORITY_STEP * u32::from(spec.priority),
             job: key,
             piece,
         };
         let service = spec.stages[piece.stage].service.clone();
         let near_wait = self.near_wait(&job.progress, piece.stage, start_by.since(now));
-        let waiting = Waiting {
+        let waiting = QueuedPiece {
             since: now,
             not_before,
             start_by,
@@ -345,7 +345,7 @@
                 job.progress.sent(rank.piece);
                 for stage in job.progress.job().stages[rank.piece.stage].after.clone() {
                     if job.progress.is_read_by_all(stage) {
-                        self.reading.push(Reading {
+                        self.reading.push(PendingRelease {
                             until: now + INPUTS_READ,
                             job: rank.job,
                             stage,
@@ -365,14 +365,14 @@
         let call = BatchCall {
             key,
             service: service.into(),
-            waiting: queue.waiting.len(),
-            room_used: upstream.room_used(),
-            far_bytes,
+            queued: queue.waiting.len(),
+            storage_used: upstream.room_used(),
+            cross_zone_bytes: far_bytes,
             upstream: upstream.id.clone(),
             start: upstream.start,
             address: upstream.address,
             pieces: orders,
-            patience: upstream.patience(expected),
+            timeout: upstream.patience(expected),
         };
         let open = OpenCall {
             service: service.into(),
@@ -389,10 +389,10 @@
 
     pub(crate) fn fail(&mut self, key: JobKey, failure: JobFailure) {
         if let Some(job) = self.jobs.remove(&key) {
-            self.release(job.progress.all());
+            self.release_results(job.progress.all());
             self.forget_pieces(key);
             let outcome = Err(failure);
-            self.ended.push(JobEnd { key, outcome });
+            self.ended.push(FinishedJob { key, outcome });
         }
     }
 
--- a/crates/serving/src/store_mirror.rs
+++ b/crates/serving/src/store_mirror.rs
@@ -8,7 +8,7 @@
 use compact_str::CompactString;
 
 use crate::StoreRevision;
-use crate::visits::Visits;
+use crate::visit_counter::VisitCounter;
 
 /// Removals that are remembered at least. A follower that is further behind is sent
 /// everything; each takes some 60 bytes.
@@ -53,7 +53,7 @@
     /// Removals up to this revision may have been forgotten.
     forgotten: StoreRevision,
     revision: StoreRevision,
-    visits: Visits,
+    visits: VisitCounter,
 }
 
 impl StoreMirror {
--- a/crates/serving/src/room_watch.rs
+++ b/crates/serving/src/untracked_storage.rs
@@ -19,7 +19,7 @@
 /// want of room, each call as long as one that is not. An upstream tells its room when asked, so it is asked while anything
 /// that is not counted here may lie there.
 #[derive(Debug)]
-pub(crate) struct RoomWatch {
+pub(crate) struct UntrackedStorage {
     taken: u64,
     doubt: Doubt,
 }
@@ -39,9 +39,9 @@
     None,
 }
 
-impl RoomWatch {
-    pub(crate) fn new() -> RoomWatch {
-        RoomWatch {
+impl UntrackedStorage {
+    pub(crate) fn new() -> UntrackedStorage {
+        UntrackedStorage {
             taken: 0,
             doubt: Doubt::New,
         }
--- a/crates/serving/src/upstream_directory.rs
+++ b/crates/serving/src/upstream_directory.rs
@@ -9,11 +9,11 @@
 use jd_types::MonoTime;
 use jd_types::Name;
 
-use crate::Reading;
+use crate::SnapshotKind;
 use crate::UpstreamStart;
 use crate::departures::Departures;
 use crate::departures::ToldBy;
-use crate::visits::Visits;
+use crate::visit_counter::VisitCounter;
 
 /// How long after the store's return an entry that lapsed may still come back.
 /// The users' platform puts entries of live upstreams back within two seconds.
@@ -69,7 +69,7 @@
     departures: Departures,
     away: bool,
     back: Option<MonoTime>,
-    visits: Visits,
+    visits: VisitCounter,
 }
 
 #[derive(Debug)]
@@ -105,7 +105,7 @@
     /// no upstream.
     pub fn put(&mut self, now: MonoTime, entry: UpstreamEntry) -> bool {
         let most_tell = self.told > self.known.len() - self.told;
-        self.take(now, entry, most_tell, Reading::Complete)
+        self.take(now, entry, most_tell, SnapshotKind::Complete)
     }
 
     fn take(
@@ -113,7 +113,7 @@
         now: MonoTime,
         entry: UpstreamEntry,
         most_tell: bool,
-        reading: Reading,
+        reading: SnapshotKind,
     ) -> bool {
         self.visits.add(1);
         if most_tell && !entry.start.is_told() {
@@ -126,8 +126,8 @@
         let (id, start) = (entry.id.clone(), entry.start);
         match reading {
             _ if entry.leaving => self.departures.note(now, &id, start, ToldBy::Entry),
-            Reading::Complete => self.departures.entry_says_ready(&id),
-            Reading::Restored => {}
+            SnapshotKind::Complete => self.departures.entry_says_ready(&id),
+            SnapshotKind::Restored => {}
         }
         let leaving = entry.leaving || self.departures.has_left(&id, start);
         let entry = UpstreamEntry { leaving, ..entry };
@@ -209,9 +209,9 @@
         &mut self,
         now: MonoTime,
         entries: Vec<UpstreamEntry>,
-        reading: Reading,
+        reading: SnapshotKind,
     ) -> bool {
-        if reading == Reading::Restored {
+        if reading == SnapshotKind::Restored {
             self.back = Some(now);
         }
         let listed: HashSet<&str> = entries.iter().map(|e| e.id.as_str()).collect();
--- a/crates/serving/src/watch_list.rs
+++ b/crates/serving/src/watch_list.rs
@@ -10,7 +10,7 @@
 use crate::SMALL_FLEET;
 use crate::Shard;
 use crate::ShardMap;
-use crate::owners;
+use crate::rank_owners;
 
 /// Owners of a shard that are watched: the one that is asked, and the one that is asked
 /// next.
@@ -50,7 +50,7 @@
             return all.shards().cloned().collect();
         }
         self.used
-            .retain(|shard, at| now.since(*at) < USED_FOR && all.has(shard));
+            .retain(|shard, at| now.since(*at) < USED_FOR && all.contains(shard));
         let mut used: Vec<(MonoTime, Shard)> = self
             .used
             .iter()
@@ -78,7 +78,7 @@
     let everybody = || others.iter().chain([me]);
     let mut ids: Vec<Incarnation> = Vec::new();
     for shard in shards {
-        let first = owners(shard, everybody(), OWNERS);
+        let first = rank_owners(shard, everybody(), OWNERS);
         ids.extend(first.into_iter().map(|e| e.incarnation));
     }
     ids.extend(source);
--- a/crates/serving/src/zone_turns.rs
+++ b/crates/serving/src/zone_availability.rs
@@ -5,13 +5,13 @@
 
 /// When the upstreams of a service can take another call, by zone.
 #[derive(Debug)]
-pub(crate) struct ZoneTurns {
+pub(crate) struct ZoneAvailability {
     turns: Vec<(Name, MonoTime)>,
 }
 
-impl ZoneTurns {
-    pub(crate) fn new(turns: impl Iterator<Item = (Name, MonoTime)>) -> ZoneTurns {
-        ZoneTurns {
+impl ZoneAvailability {
+    pub(crate) fn new(turns: impl Iterator<Item = (Name, MonoTime)>) -> ZoneAvailability {
+        ZoneAvailability {
             turns: turns.collect(),
         }
     }
--- a/crates/serving/tests/deadlines.rs
+++ b/crates/serving/tests/deadlines.rs
@@ -2,12 +2,12 @@
 
 #![allow(clippy::expect_used, clippy::panic)]
 
-mod stage_world;
+mod stage_simulation;
 
 use std::time::Duration;
 
 use jd_serving::JobFailure;
-use stage_world::World;
+use stage_simulation::Simulation;
 
 const CHAIN: [(&str, usize); 2] = [("first", 1), ("second", 4)];
 
@@ -16,7 +16,7 @@
 /// until its deadline, and its stages were done for nobody.
 #[test]
 fn what_cannot_end_before_its_deadline_is_refused_when_it_comes() {
-    let mut world = World::new(&["first", "second"], 10);
+    let mut world = Simulation::new(&["first", "second"], 10);
     let mut job = world.chain(1, &CHAIN, 3_000);
     job.deadline = world.now + Duration::from_millis(400);
     let refused = world.submit(job);
@@ -30,7 +30,7 @@
 /// The same with time enough, in which it is done.
 #[test]
 fn what_can_end_before_its_deadline_is_taken() {
-    let mut world = World::new(&["first", "second"], 10);
+    let mut world = Simulation::new(&["first", "second"], 10);
     let mut job = world.chain(1, &CHAIN, 3_000);
     job.deadline = world.now + Duration::from_millis(900);
     let key = world.submit(job).expect("taken");
@@ -43,7 +43,7 @@
 /// told, and no upstream works for it.
 #[test]
 fn what_can_no_longer_end_before_its_deadline_is_refused_at_once() {
-    let mut world = World::new(&["first"], 1);
+    let mut world = Simulation::new(&["first"], 1);
     for id in 1..5 {
         let urgent = world.chain(id, &[("first", 10)], 3_000);
         world.submit(urgent).expect("taken");
--- a/crates/serving/tests/eras.rs
+++ b/crates/serving/tests/eras.rs
@@ -11,7 +11,7 @@
 use jd_serving::InstanceDirectory;
 use jd_serving::InstanceEntry;
 use jd_serving::Proof;
-use jd_serving::Reading;
+use jd_serving::SnapshotKind;
 use jd_serving::StoreItem;
 use jd_serving::StoreMirror;
 use jd_serving::StoreRevision;
@@ -171,8 +171,8 @@
     let mut directory = InstanceDirectory::default();
     directory.put(at(1_000), instance(1), rev(1, 100));
     directory.watch(at(1_000), &[]);
-    directory.relist(at(2_000), &[], Reading::Restored);
-    directory.relist(at(2_500), &[], Reading::Complete);
+    directory.relist(at(2_000), &[], SnapshotKind::Restored);
+    directory.relist(at(2_500), &[], SnapshotKind::Complete);
     directory.expire(at(4_999));
     assert_eq!(live(&directory, 4_999), [1]);
     if again {
--- a/crates/serving/tests/evacuation.rs
+++ b/crates/serving/tests/evacuation.rs
@@ -2,15 +2,15 @@
 
 #![allow(clippy::expect_used, clippy::panic)]
 
-mod stage_world;
+mod stage_simulation;
 
 use jd_serving::EvacuatedZones;
 use jd_serving::JobFailure;
-use jd_serving::Reading;
+use jd_serving::SnapshotKind;
 use jd_types::MonoTime;
 use jd_types::Name;
-use stage_world::SPEC;
-use stage_world::World;
+use stage_simulation::SPEC;
+use stage_simulation::Simulation;
 
 fn zone(name: &str) -> Name {
     Name::try_from(name).expect("a name")
@@ -24,7 +24,7 @@
     assert!(zones.evacuate(zone("a")));
     assert!(!zones.evacuate(zone("a")));
     let read = [zone("b")].into();
-    assert!(zones.replace(MonoTime::from_millis(50), read, Reading::Complete));
+    assert!(zones.replace(MonoTime::from_millis(50), read, SnapshotKind::Complete));
     assert!(!zones.is_evacuated(&zone("a")));
     assert!(zones.is_evacuated(&zone("b")));
     assert_eq!(
@@ -42,8 +42,8 @@
     let mut zones = EvacuatedZones::default();
     zones.evacuate(zone("a"));
     zones.evacuate(zone("b"));
-    assert!(!zones.replace(at(1_000), [zone("b")].into(), Reading::Restored));
-    assert!(!zones.replace(at(2_000), [zone("b")].into(), Reading::Complete));
+    assert!(!zones.replace(at(1_000), [zone("b")].into(), SnapshotKind::Restored));
+    assert!(!zones.replace(at(2_000), [zone("b")].into(), SnapshotKind::Complete));
     assert!(
         zones.is_evacuated(&zone("a")),
         "lost, and not written again yet"
@@ -58,7 +58,7 @@
     let at = MonoTime::from_millis;
     let mut zones = EvacuatedZones::default();
     zones.evacuate(zone("a"));
-    zones.replace(at(1_000), [].into(), Reading::Restored);
+    zones.replace(at(1_000), [].into(), SnapshotKind::Restored);
     assert!(!zones.evacuate(zone("a")), "no news");
     assert!(!zones.expire(at(20_000)));
     assert!(zones.is_evacuated(&zone("a")));
@@ -70,7 +70,7 @@
     let at = MonoTime::from_millis;
     let mut zones = EvacuatedZones::default();
     zones.evacuate(zone("a"));
-    zones.replace(at(1_000), [].into(), Reading::Restored);
+    zones.replace(at(1_000), [].into(), SnapshotKind::Restored);
     assert!(zones.take_back(at(2_000), &zone("a")));
     assert!(!zones.is_evacuated(&zone("a")));
 }
@@ -80,7 +80,7 @@
 /// though other zones could have done all of it.
 #[test]
 fn stages_that_nobody_is_left_for_are_asked_for_elsewhere_at_once() {
-    let mut world = World::new(&["first", "second"], 10);
+    let mut world = Simulation::new(&["first", "second"], 10);
     let chain = world.chain(1, &[("first", 1), ("second", 4)], 3_000);
     let key = world.submit(chain).expect("taken");
     world.run(100);
--- a/crates/serving/tests/growth.rs
+++ b/crates/serving/tests/growth.rs
@@ -9,9 +9,9 @@
 use bytes::Bytes;
 use jd_serving::FirstSources;
 use jd_serving::InstanceEntry;
-use jd_serving::Reading;
 use jd_serving::Shard;
 use jd_serving::ShardMap;
+use jd_serving::SnapshotKind;
 use jd_serving::StoreItem;
 use jd_serving::StoreMirror;
 use jd_serving::StoreRevision;
@@ -111,7 +111,7 @@
     let now = MonoTime::from_micros(1);
     let mut directory = UpstreamDirectory::default();
     let all = (0..upstreams).map(|n| upstream(n, false)).collect();
-    directory.replace(now, all, Reading::Complete);
+    directory.replace(now, all, SnapshotKind::Complete);
     let before = directory.visited();
     for n in 0..100 {
         assert!(directory.put(now, upstream(n, true)));
@@ -130,9 +130,9 @@
     let now = MonoTime::from_micros(1);
     let mut directory = UpstreamDirectory::default();
     let all = || (0..upstreams).map(|n| upstream(n, false)).collect();
-    directory.replace(now, all(), Reading::Complete);
+    directory.replace(now, all(), SnapshotKind::Complete);
     let before = directory.visited();
-    assert!(!directory.replace(now, all(), Reading::Complete));
+    assert!(!directory.replace(now, all(), SnapshotKind::Complete));
     let visited = directory.visited() - before;
     assert!(visited <= 2 * upstreams, "{visited} visited");
 }
--- a/crates/serving/tests/instances.rs
+++ b/crates/serving/tests/instances.rs
@@ -8,11 +8,11 @@
 use jd_serving::Heartbeat;
 use jd_serving::InstanceDirectory;
 use jd_serving::InstanceEntry;
-use jd_serving::Reading;
 use jd_serving::Shard;
+use jd_serving::SnapshotKind;
 use jd_serving::StoreRevision;
 use jd_serving::Strength;
-use jd_serving::owners;
+use jd_serving::rank_owners;
 use jd_types::Incarnation;
 use jd_types::MonoTime;
 use jd_types::Name;
@@ -93,7 +93,7 @@
     };
     let first = |directory: &InstanceDirectory, now, me: &InstanceEntry| {
         let all = directory.live(now).chain([me]);
-        owners(&shard("", 0), all, 1)[0].peers
+        rank_owners(&shard("", 0), all, 1)[0].peers
     };
     let mut seen = Vec::new();
     for me in 0..9 {
@@ -196,9 +196,9 @@
 fn the_loss_of_an_instance_moves_only_what_it_owned() {
     let all: Vec<InstanceEntry> = (1..=9_u8).map(|n| entry(n.into(), n, "a")).collect();
     for part in 0..100 {
-        let order = owners(&shard("", part), all.iter(), usize::MAX);
+        let order = rank_owners(&shard("", part), all.iter(), usize::MAX);
         let rest = all.iter().filter(|e| *e != order[3]);
-        let without = owners(&shard("", part), rest, usize::MAX);
+        let without = rank_owners(&shard("", part), rest, usize::MAX);
         assert_eq!(without[..3], order[..3]);
         assert_eq!(without[3..], order[4..]);
     }
@@ -217,7 +217,7 @@
         .map(weak)
         .chain([strong(21, "b"), strong(22, "a"), strong(23, "c")])
         .collect();
-    let order = owners(&shard("a", 0), all.iter(), 3);
+    let order = rank_owners(&shard("a", 0), all.iter(), 3);
     assert_eq!(order[0].incarnation, Incarnation::new(22));
     let next: Vec<u64> = order[1..3].iter().map(|e| e.incarnation.get()).collect();
     assert!(next.contains(&21) && next.contains(&23));
@@ -253,7 +253,7 @@
     directory.put(at(1_000), a.clone(), rev(1));
     directory.put(at(1_000), b.clone(), rev(1));
     directory.watch(at(1_000), &[]);
-    directory.relist(at(1_500), &[a.incarnation], Reading::Complete);
+    directory.relist(at(1_500), &[a.incarnation], SnapshotKind::Complete);
     assert_eq!(live(&directory, at(1_100)), [a.incarnation]);
 }
 
@@ -274,7 +274,7 @@
     }
     let first = |d: &InstanceDirectory, me: &InstanceEntry| {
         let all = d.live(at(1_300)).chain([me]);
-        owners(&shard("", 0), all, 1)[0].peers
+        rank_owners(&shard("", 0), all, 1)[0].peers
     };
     before.put(at(1_250), new.clone(), rev(3));
     assert_eq!(first(&before, &old), first(&started, &new));
@@ -294,7 +294,7 @@
         directory.heard(at(1_000), entry.incarnation, WELL);
     }
     let order = |d: &InstanceDirectory| -> Vec<SocketAddr> {
-        let order = owners(&shard("", 0), d.able(at(1_200)), usize::MAX);
+        let order = rank_owners(&shard("", 0), d.able(at(1_200)), usize::MAX);
         order.into_iter().map(|e| e.peers).collect()
     };
     let before = order(&directory);
--- a/crates/serving/tests/knowledge.rs
+++ b/crates/serving/tests/knowledge.rs
@@ -7,9 +7,9 @@
 
 use jd_serving::Freshness;
 use jd_serving::Proof;
-use jd_serving::Reading;
 use jd_serving::RepeatBound;
 use jd_serving::RepeatBudget;
+use jd_serving::SnapshotKind;
 use jd_serving::StoreRevision;
 use jd_serving::UpstreamDirectory;
 use jd_serving::UpstreamEntry;
@@ -110,7 +110,7 @@
     directory.put(at(0), upstream("i-2", false));
     directory.store_away();
     assert!(directory.store_back(at(10_000)));
-    assert!(!directory.replace(at(10_000), Vec::new(), Reading::Complete));
+    assert!(!directory.replace(at(10_000), Vec::new(), SnapshotKind::Complete));
     assert_eq!(ids(&directory), ["i-1", "i-2"]);
     assert!(directory.put(at(0), upstream("i-1", false)));
     assert!(!directory.expire(at(11_900)));
--- a/crates/serving/tests/leaving.rs
+++ b/crates/serving/tests/leaving.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use jd_serving::Reading;
+use jd_serving::SnapshotKind;
 use jd_serving::UpstreamDirectory;
 use jd_serving::UpstreamEntry;
 use jd_serving::UpstreamStart;
@@ -62,7 +62,7 @@
     directory.says_leaving(at(10), "u", UNTOLD);
     directory.put(at(20), entry(UNTOLD));
     assert_eq!(is_used(&directory), Some(false));
-    directory.replace(at(30), vec![entry(UNTOLD)], Reading::Complete);
+    directory.replace(at(30), vec![entry(UNTOLD)], SnapshotKind::Complete);
     assert_eq!(is_used(&directory), Some(false));
 }
 
@@ -113,7 +113,7 @@
 fn a_copy_does_not_take_the_word_back(word: Word) {
     let mut directory = listed(UNTOLD);
     word.give(&mut directory);
-    directory.replace(at(5_000), vec![entry(UNTOLD)], Reading::Restored);
+    directory.replace(at(5_000), vec![entry(UNTOLD)], SnapshotKind::Restored);
     assert_eq!(is_used(&directory), Some(false));
 }
 
@@ -127,7 +127,7 @@
         let mut directory = listed(UNTOLD);
         word.give(&mut directory);
         if restored {
-            directory.replace(at(5_000), vec![entry(UNTOLD)], Reading::Restored);
+            directory.replace(at(5_000), vec![entry(UNTOLD)], SnapshotKind::Restored);
         }
         directory.put(at(6_000), entry(UNTOLD));
         assert_eq!(is_used(&directory), Some(used), "restored: {restored}");
@@ -138,7 +138,7 @@
 #[test]
 fn an_upstream_that_a_copy_lacks_stays_in_use_until_it_had_time_to_come_back() {
     let mut directory = listed(UNTOLD);
-    assert!(!directory.replace(at(5_000), Vec::new(), Reading::Restored));
+    assert!(!directory.replace(at(5_000), Vec::new(), SnapshotKind::Restored));
     assert_eq!(is_used(&directory), Some(true));
     assert!(!directory.expire(at(6_999)));
     assert!(directory.expire(at(7_000)));
--- a/crates/serving/tests/quarantine_list.rs
+++ b/crates/serving/tests/quarantine_list.rs
@@ -155,9 +155,12 @@
 fn a_run_that_ended_well_speaks_for_half_a_minute() {
     let mut recent = RecentRuns::default();
     let content = Content::from_number(OTHER);
-    recent.note(at(1_000), "pool", content);
-    assert_eq!(recent.of(at(20_000), content), [good("pool", OTHER, 1_000)]);
-    assert!(recent.of(at(32_000), content).is_empty());
+    recent.record(at(1_000), "pool", content);
+    assert_eq!(
+        recent.runs_of(at(20_000), content),
+        [good("pool", OTHER, 1_000)]
+    );
+    assert!(recent.runs_of(at(32_000), content).is_empty());
     let bad = Content::from_number(BAD);
-    assert!(recent.of(at(2_000), bad).is_empty());
+    assert!(recent.runs_of(at(2_000), bad).is_empty());
 }
--- a/crates/serving/tests/restarts.rs
+++ b/crates/serving/tests/restarts.rs
@@ -2,24 +2,24 @@
 
 #![allow(clippy::expect_used, clippy::panic)]
 
-mod stage_world;
+mod stage_simulation;
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use jd_serving::JobKey;
-use jd_serving::Reading;
-use jd_serving::RoomQuestion;
-use jd_serving::RoomReport;
+use jd_serving::SnapshotKind;
 use jd_serving::StageUpstream;
+use jd_serving::StorageQuery;
+use jd_serving::StorageReport;
 use jd_serving::UpstreamDirectory;
 use jd_serving::UpstreamEntry;
 use jd_serving::UpstreamStart;
 use jd_types::MonoTime;
-use stage_world::SPEC;
-use stage_world::World;
-use stage_world::name;
-use stage_world::upstreams;
+use stage_simulation::SPEC;
+use stage_simulation::Simulation;
+use stage_simulation::name;
+use stage_simulation::upstreams;
 
 const CHAIN: [(&str, usize); 2] = [("first", 1), ("second", 4)];
 
@@ -33,7 +33,7 @@
     both
 }
 
-fn announce(world: &mut World, service: &str, upstreams: Vec<StageUpstream>) {
+fn announce(world: &mut Simulation, service: &str, upstreams: Vec<StageUpstream>) {
     let now = world.now;
     world
         .desk
@@ -41,7 +41,7 @@
 }
 
 /// The store tells that an upstream of the first stage has started again.
-fn start_again(world: &mut World, id: &str) {
+fn start_again(world: &mut Simulation, id: &str) {
     let mut after = with_start("first", 1_000);
     for upstream in after.iter_mut().filter(|u| u.id == id) {
         upstream.start = UpstreamStart::at_millis(9_000);
@@ -49,15 +49,15 @@
     announce(world, "first", after);
 }
 
-fn world() -> World {
-    let mut world = World::new(&["first", "second"], 10);
+fn world() -> Simulation {
+    let mut world = Simulation::new(&["first", "second"], 10);
     for service in ["first", "second"] {
         announce(&mut world, service, with_start(service, 1_000));
     }
     world
 }
 
-fn took(world: &World, key: JobKey, since: MonoTime) -> Duration {
+fn took(world: &Simulation, key: JobKey, since: MonoTime) -> Duration {
     let (ended, outcome) = world.ended.get(&key).expect("ended");
     assert!(outcome.is_ok(), "{outcome:?}");
     ended.since(since)
@@ -152,18 +152,18 @@
         .expect("taken");
     let call = world.calls[0].1.clone();
     world.run(20);
-    let asked = RoomQuestion {
+    let asked = StorageQuery {
         service: "first".into(),
         upstream: call.upstream.clone(),
         start: call.start,
         address: call.address,
     };
-    let report = RoomReport {
-        free: SPEC.room_bytes,
+    let report = StorageReport {
+        free_bytes: SPEC.room_bytes,
         start: UpstreamStart::at_millis(9_000),
     };
     let now = world.now;
-    world.desk.told_room(now, &asked, Some(report));
+    world.desk.record_storage_report(now, &asked, Some(report));
     announce(&mut world, "first", with_start("first", 1_000));
     world.run(600);
     assert_eq!(world.calls.len(), 2, "asked for again once");
@@ -240,7 +240,7 @@
     let mut directory = UpstreamDirectory::default();
     let mut entries = vec![entry("i-0", UpstreamStart::at_millis(1_000), 80)];
     entries.extend((1..5).map(|n| entry(&format!("i-{n}"), UpstreamStart::UNTOLD, 80 + n)));
-    directory.replace(MonoTime::ZERO, entries, Reading::Complete);
+    directory.replace(MonoTime::ZERO, entries, SnapshotKind::Complete);
     assert_eq!(directory.entries().count(), 5);
     assert!(directory.put(MonoTime::ZERO, entry("i-5", UpstreamStart::UNTOLD, 85)));
 }
--- a/crates/serving/tests/shards.rs
+++ b/crates/serving/tests/shards.rs
@@ -58,7 +58,7 @@
         .collect();
     let mut had: Vec<&(Name, usize)> = divided
         .shards()
-        .flat_map(|s| s.of_service(all.iter(), |u| &u.0))
+        .flat_map(|s| s.select_upstreams(all.iter(), |u| &u.0))
         .collect();
     had.sort();
     let mut expected: Vec<&(Name, usize)> = all.iter().collect();
--- a/crates/serving/tests/stage_world/mod.rs
+++ b/crates/serving/tests/stage_simulation/mod.rs
@@ -17,12 +17,12 @@
 use jd_serving::JobFailure;
 use jd_serving::JobKey;
 use jd_serving::JobStage;
+use jd_serving::PieceInput;
 use jd_serving::PieceResult;
-use jd_serving::PieceSource;
-use jd_serving::RoomReport;
-use jd_serving::StageDesk;
 use jd_serving::StageJob;
+use jd_serving::StageScheduler;
 use jd_serving::StageUpstream;
+use jd_serving::StorageReport;
 use jd_serving::UpstreamStart;
 use jd_types::MonoTime;
 use jd_types::Name;
@@ -39,8 +39,8 @@
     keep: Duration::from_secs(4),
 };
 
-pub(crate) struct World {
-    pub(crate) desk: StageDesk,
+pub(crate) struct Simulation {
+    pub(crate) desk: StageScheduler,
     pub(crate) now: MonoTime,
     /// Every call that was made.
     pub(crate) calls: Vec<(MonoTime, BatchCall)>,
@@ -67,14 +67,14 @@
     Name::try_from(text).expect("a name")
 }
 
-impl World {
+impl Simulation {
     /// A world whose results have `bytes` each.
-    pub(crate) fn new(services: &[&str], bytes: u64) -> World {
-        let mut desk = StageDesk::default();
+    pub(crate) fn new(services: &[&str], bytes: u64) -> Simulation {
+        let mut desk = StageScheduler::default();
         for service in services {
             desk.set_upstreams(MonoTime::ZERO, service, SPEC, upstreams(service, &[1, 2]));
         }
-        World {
+        Simulation {
             desk,
             now: MonoTime::from_millis(1_000),
             calls: Vec::new(),
@@ -139,7 +139,7 @@
             {
                 let call = entry.remove();
                 let result = self.work(&call);
-                self.desk.finish(self.now, call.key, result);
+                self.desk.complete_call(self.now, call.key, result);
             }
             self.pump();
         }
@@ -147,39 +147,40 @@
 
     fn pump(&mut self) {
         self.desk.expire(self.now);
-        for question in self.desk.room_questions(self.now) {
+        for question in self.desk.storage_queries(self.now) {
             let used = self.used(&question.upstream);
             let free = SPEC.room_bytes.saturating_sub(used);
             self.questions += 1;
-            let told = RoomReport {
-                free,
+            let told = StorageReport {
+                free_bytes: free,
                 start: UpstreamStart::UNTOLD,
             };
-            self.desk.told_room(self.now, &question, Some(told));
+            self.desk
+                .record_storage_report(self.now, &question, Some(told));
         }
         while let Some(call) = self.desk.next_call(self.now) {
             if let Some((every, next)) = self.limited.get_mut(&call.upstream) {
                 let wait = next.since(self.now);
                 if !wait.is_zero() {
                     let withheld = CallResult::Withheld(wait);
-                    self.desk.finish(self.now, call.key, withheld);
+                    self.desk.complete_call(self.now, call.key, withheld);
                     continue;
                 }
                 *next = self.now + *every;
             }
             self.numbers += 1;
             let took = match self.silent.contains(&call.upstream) {
-                true => call.patience,
+                true => call.timeout,
                 false => SPEC.call_time(call.pieces.len()),
             };
             self.due
                 .insert((self.now + took, self.numbers), call.clone());
             self.calls.push((self.now, call));
         }
-        for end in self.desk.take_ended() {
+        for end in self.desk.take_finished() {
             self.ended.insert(end.key, (self.now, end.outcome));
         }
-        for handle in self.desk.take_unused() {
+        for handle in self.desk.take_unused_results() {
             self.lying.remove(&handle);
         }
     }
@@ -197,11 +198,11 @@
         }
         let mut results = Vec::new();
         for piece in &call.pieces {
-            if let PieceSource::Results(inputs) = &piece.source {
+            if let PieceInput::Results(inputs) = &piece.input {
                 assert!(!inputs.is_empty(), "a later stage needs inputs");
                 if inputs.iter().any(|i| self.lost.contains(i)) {
                     self.gone += 1;
-                    results.push(PieceResult::InputGone);
+                    results.push(PieceResult::InputMissing);
                     continue;
                 }
             }
--- a/crates/serving/tests/stages.rs
+++ b/crates/serving/tests/stages.rs
@@ -2,7 +2,7 @@
 
 #![allow(clippy::expect_used, clippy::panic)]
 
-mod stage_world;
+mod stage_simulation;
 
 use std::time::Duration;
 
@@ -10,14 +10,14 @@
 use jd_serving::JobFailure;
 use jd_serving::JobKey;
 use jd_serving::JobStage;
-use stage_world::SPEC;
-use stage_world::World;
-use stage_world::name;
-use stage_world::upstreams;
+use stage_simulation::SPEC;
+use stage_simulation::Simulation;
+use stage_simulation::name;
+use stage_simulation::upstreams;
 
 const CHAIN: [(&str, usize); 2] = [("first", 1), ("second", 4)];
 
-fn whole(world: &World, key: JobKey) -> usize {
+fn whole(world: &Simulation, key: JobKey) -> usize {
     match world.ended.get(&key) {
         Some((_, Ok(results))) => results.len(),
         other => panic!("not done: {other:?}"),
@@ -26,7 +26,7 @@
 
 #[test]
 fn a_lone_job_waits_for_nobody() {
-    let mut world = World::new(&["first", "second"], 10);
+    let mut world = Simulation::new(&["first", "second"], 10);
     let key = world.submit(world.chain(1, &CHAIN, 3_000)).expect("taken");
     world.run(600);
     assert_eq!(whole(&world, key), 4);
@@ -37,7 +37,7 @@
 /// seconds; bound when one is free, they share calls.
 #[test]
 fn calls_fill_as_load_grows() {
-    let mut world = World::new(&["first"], 10);
+    let mut world = Simulation::new(&["first"], 10);
     for id in 0..200 {
         world
             .submit(world.chain(id, &[("first", 1)], 8_000))
@@ -53,7 +53,7 @@
 /// fails the test when more lie at an upstream than it has room for.
 #[test]
 fn results_never_take_more_room_than_there_is() {
-    let mut world = World::new(&["first", "second"], 190);
+    let mut world = Simulation::new(&["first", "second"], 190);
     let mut keys = Vec::new();
     for id in 0..30 {
         keys.push(
@@ -65,7 +65,7 @@
     for _ in 0..100 {
         world.run(100);
         for (_, outcome) in world.ended.clone().into_values() {
-            world.desk.release(outcome.unwrap_or_default());
+            world.desk.release_results(outcome.unwrap_or_default());
         }
     }
     assert!(keys.iter().all(|k| world.ended.contains_key(k)));
@@ -76,7 +76,7 @@
 /// burst ended in seconds of refusals although engines were half idle.
 #[test]
 fn a_call_that_is_scant_for_want_of_room_waits() {
-    let mut world = World::new(&["first"], 190);
+    let mut world = Simulation::new(&["first"], 190);
     for id in 0..8 {
         world
             .submit(world.chain(id, &[("first", 4)], 60_000))
@@ -92,7 +92,7 @@
 /// without their inputs they would be made from nothing.
 #[test]
 fn results_that_are_gone_are_made_again() {
-    let mut world = World::new(&["first", "second"], 10);
+    let mut world = Simulation::new(&["first", "second"], 10);
     let key = world.submit(world.chain(1, &CHAIN, 5_000)).expect("taken");
     world.run(265);
     world.lose_results("first-1");
@@ -105,7 +105,7 @@
 /// then, and it is left alone for a while instead of taking the next ones.
 #[test]
 fn pieces_of_a_silent_upstream_go_elsewhere() {
-    let mut world = World::new(&["first"], 10);
+    let mut world = Simulation::new(&["first"], 10);
     world.silent.insert("first-1".into());
     let mut keys = Vec::new();
     for id in 0..4 {
@@ -127,7 +127,7 @@
 /// A burst of the least urgent kind must not make the most urgent late.
 #[test]
 fn a_burst_of_the_less_urgent_delays_the_more_urgent_little() {
-    let mut world = World::new(&["first"], 1);
+    let mut world = Simulation::new(&["first"], 1);
     for id in 0..60 {
         let mut job = world.chain(id, &[("first", 1)], 2_000);
         job.priority = 2;
@@ -147,7 +147,7 @@
 /// next one late as well. What can still be in time goes first.
 #[test]
 fn what_can_be_in_time_goes_before_what_is_late() {
-    let mut world = World::new(&["first"], 1);
+    let mut world = Simulation::new(&["first"], 1);
     for id in 0..100 {
         let mut late = world.chain(id, &[("first", 1)], 900);
         // Its caller waits long enough for it to be taken.
@@ -171,7 +171,7 @@
 /// of either was in time. Now what the most urgent kind needs is kept free.
 #[test]
 fn a_burst_beyond_capacity_leaves_the_urgent_in_time() {
-    let mut world = World::new(&["first", "second"], 1);
+    let mut world = Simulation::new(&["first", "second"], 1);
     let mut urgent = Vec::new();
     for id in 0..150 {
         let mut job = world.chain(id, &CHAIN, 2_000);
@@ -196,7 +196,7 @@
 /// there will be room.
 #[test]
 fn what_would_end_too_late_is_refused_at_once() {
-    let mut world = World::new(&["first"], 1);
+    let mut world = Simulation::new(&["first"], 1);
     let mut refused = 0;
     for id in 0..200 {
         match world.submit(world.chain(id, &[("first", 1)], 900)) {
@@ -222,7 +222,7 @@
 /// which refused them, and results were gone before they were read.
 #[test]
 fn an_owner_that_is_replaced_hands_over_what_it_has_not_begun() {
-    let mut world = World::new(&["first", "second"], 1);
+    let mut world = Simulation::new(&["first", "second"], 1);
     let mut keys = Vec::new();
     for id in 0..40 {
         let mut job = world.chain(id, &CHAIN, 2_000);
@@ -245,28 +245,30 @@
 /// only at desks where something waits.
 #[test]
 fn what_is_handed_over_is_told_though_nothing_waits_any_more() {
-    let mut world = World::new(&["first"], 1);
+    let mut world = Simulation::new(&["first"], 1);
     for id in 0..3 {
         let job = world.chain(id, &[("first", 1)], 2_000);
         world.submit(job).expect("taken");
     }
     world.desk.hand_over();
-    assert!(world.desk.is_waiting());
-    assert_eq!(world.desk.take_ended().len(), 1);
-    assert!(!world.desk.is_waiting());
+    assert!(world.desk.has_pending_work());
+    assert_eq!(world.desk.take_finished().len(), 1);
+    assert!(!world.desk.has_pending_work());
 }
 
 /// A request whose stages wait is found to end upstreams. Its pieces were still asked for,
 /// by the owner that fills calls for all instances; the others' are done.
 #[test]
 fn stages_of_a_quarantined_request_are_given_up() {
-    let mut world = World::new(&["first", "second"], 1);
+    let mut world = Simulation::new(&["first", "second"], 1);
     let bad = world.submit(world.chain(1, &CHAIN, 5_000)).expect("taken");
     let good = world.submit(world.chain(2, &CHAIN, 5_000)).expect("taken");
     world.run(100);
     let (known, content) = (world.now, Content::from_number(1));
     let left = Duration::from_secs(600);
-    world.desk.quarantine(|c| (c == content).then_some(left));
+    world
+        .desk
+        .fail_quarantined(|c| (c == content).then_some(left));
     world.run(3_000);
     assert_eq!(world.ended[&bad].1, Err(JobFailure::Quarantined(left)));
     assert!(world.ended[&good].1.is_ok());
@@ -279,13 +281,13 @@
 /// results make room.
 #[test]
 fn a_cancelled_job_leaves_nothing_behind() {
-    let mut world = World::new(&["first", "second"], 10);
+    let mut world = Simulation::new(&["first", "second"], 10);
     let key = world.submit(world.chain(1, &CHAIN, 5_000)).expect("taken");
     world.run(300);
     world.desk.cancel(key);
     world.run(2_000);
     assert!(world.lying.is_empty());
-    assert!(!world.desk.is_waiting());
+    assert!(!world.desk.has_pending_work());
     assert_eq!(world.calls.len(), 2);
 }
 
@@ -293,7 +295,7 @@
 /// of one request moved a megabyte between zones.
 #[test]
 fn a_stage_is_done_where_its_inputs_lie() {
-    let mut world = World::new(&["first", "second"], 10);
+    let mut world = Simulation::new(&["first", "second"], 10);
     let mut job = world.chain(1, &CHAIN, 5_000);
     job.zone = Some(name("b"));
     world.submit(job).expect("taken");
@@ -309,7 +311,7 @@
 
 #[test]
 fn a_stage_without_upstreams_is_refused() {
-    let mut world = World::new(&["first"], 10);
+    let mut world = Simulation::new(&["first"], 10);
     assert_eq!(
         world.submit(world.chain(1, &CHAIN, 5_000)),
         Err(JobFailure::NoUpstream)
@@ -320,7 +322,7 @@
 /// and nothing new reaches it.
 #[test]
 fn an_upstream_that_left_gets_nothing_new() {
-    let mut world = World::new(&["first"], 10);
+    let mut world = Simulation::new(&["first"], 10);
     let key = world
         .submit(world.chain(1, &[("first", 2)], 5_000))
         .expect("taken");
@@ -344,7 +346,7 @@
 /// results of others had no room.
 #[test]
 fn a_lone_stage_is_not_done_long_before_the_chain_beside_it() {
-    let mut world = World::new(&["lone", "first", "second", "third"], 10);
+    let mut world = Simulation::new(&["lone", "first", "second", "third"], 10);
     let mut job = world.chain(1, &[("first", 1), ("second", 2), ("third", 2)], 5_000);
     let lone = JobStage {
         service: "lone".into(),
@@ -375,7 +377,7 @@
 /// the request would wait for its whole deadline in vain.
 #[test]
 fn a_result_larger_than_the_planned_room_is_tried_alone() {
-    let mut world = World::new(&["first"], 1_990);
+    let mut world = Simulation::new(&["first"], 1_990);
     let key = world
         .submit(world.chain(1, &[("first", 1)], 3_000))
         .expect("taken");
--- a/crates/serving/tests/worst_load.rs
+++ b/crates/serving/tests/worst_load.rs
@@ -3,17 +3,17 @@
 
 #![allow(clippy::expect_used, clippy::panic)]
 
-mod stage_world;
+mod stage_simulation;
 
 use std::time::Duration;
 
-use jd_serving::Expectation;
+use jd_serving::EstimateBias;
 use jd_serving::JobKey;
 use jd_serving::StageJob;
 use jd_types::MonoTime;
-use stage_world::SPEC;
-use stage_world::World;
-use stage_world::name;
+use stage_simulation::SPEC;
+use stage_simulation::Simulation;
+use stage_simulation::name;
 
 /// All instances were killed; results of theirs fill both upstreams for another
 /// two seconds, and nobody can give them up. The new owner counted none of them:
@@ -21,7 +21,7 @@
 /// fails the test when more lies at an upstream than it has room for.
 #[test]
 fn results_of_the_dead_are_not_written_over() {
-    let mut world = World::new(&["first"], 100);
+    let mut world = Simulation::new(&["first"], 100);
     for upstream in ["first-1", "first-2"] {
         let left = (upstream.into(), 1_500);
         world.lying.insert(format!("{upstream}/dead").into(), left);
@@ -46,7 +46,7 @@
 /// Upstreams that have no results of others are asked once each and never again.
 #[test]
 fn rooms_are_asked_for_only_while_in_doubt() {
-    let mut world = World::new(&["first"], 10);
+    let mut world = Simulation::new(&["first"], 10);
     for id in 0..25 {
         let job = world.chain(id, &[("first", 1)], 60_000);
         world.submit(job).expect("taken");
@@ -64,7 +64,7 @@
 }
 
 /// Pieces that were made outside the zone that wants them, and all pieces.
-fn far_pieces(world: &World) -> (usize, usize) {
+fn far_pieces(world: &Simulation) -> (usize, usize) {
     let mut far = 0;
     let mut all = 0;
     for (_, call) in &world.calls {
@@ -88,7 +88,7 @@
 /// megabytes each, although the other zone's upstream was free as often.
 #[test]
 fn a_backlog_is_sorted_by_zone() {
-    let mut world = World::new(&["first"], 10);
+    let mut world = Simulation::new(&["first"], 10);
     for id in 0..60 {
         let mut job = world.chain(id, &[("first", 2)], 60_000);
         job.zone = Some(name(zone_of(id)));
@@ -102,7 +102,7 @@
 /// be late there goes to the other zone while it can still be in time.
 #[test]
 fn what_cannot_wait_goes_to_the_other_zone() {
-    let mut world = World::new(&["first"], 10);
+    let mut world = Simulation::new(&["first"], 10);
     world.silent.insert("first-1".into());
     let mut keys: Vec<(JobKey, MonoTime)> = Vec::new();
     for id in 0..30 {
@@ -123,7 +123,7 @@
 /// serve was held up by the zone that it was to be served in.
 #[test]
 fn scarce_room_is_not_held_for_the_sake_of_a_zone() {
-    let mut world = World::new(&["first", "second"], 950);
+    let mut world = Simulation::new(&["first", "second"], 950);
     let busy = world.chain(1, &[("second", 1)], 60_000);
     let chain = world.chain(2, &[("first", 1), ("second", 1)], 60_000);
     world.submit(chain).expect("taken");
@@ -141,7 +141,7 @@
 }
 
 /// The zone of the upstream that was called first.
-fn first_zone(world: &World) -> jd_types::Name {
+fn first_zone(world: &Simulation) -> jd_types::Name {
     let (_, call) = &world.calls[0];
     name(if call.upstream.ends_with("-1") {
         "a"
@@ -156,8 +156,8 @@
 /// urgent late that came meanwhile.
 #[test]
 fn the_less_urgent_is_late_when_its_own_time_is_over() {
-    let mut world = World::new(&["first"], 1);
-    let job = |world: &World, id, objective, priority| StageJob {
+    let mut world = Simulation::new(&["first"], 1);
+    let job = |world: &Simulation, id, objective, priority| StageJob {
         priority,
         ..world.chain(id, &[("first", 20)], objective)
     };
@@ -182,12 +182,12 @@
 
 /// Tells of twenty jobs a second, for `seconds`, that each ended `off` ms after its
 /// expected end.
-fn learn(expectation: &mut Expectation, from: u64, seconds: u64, off: i64) {
+fn learn(expectation: &mut EstimateBias, from: u64, seconds: u64, off: i64) {
     for n in 0..seconds * 20 {
         let now = from + n * 50;
         let expected = now.saturating_add_signed(-off);
         let (now, expected) = (MonoTime::from_millis(now), MonoTime::from_millis(expected));
-        expectation.ended(now, expected, 3, 1);
+        expectation.record(now, expected, 3, 1);
     }
 }
 
@@ -197,7 +197,7 @@
 /// little: all of the work was done and little of it in time.
 #[test]
 fn what_expectations_leave_out_is_added_within_seconds() {
-    let mut expectation = Expectation::default();
+    let mut expectation = EstimateBias::default();
     learn(&mut expectation, 10_000, 3, 180);
     let correction = expectation.correction(MonoTime::from_millis(13_000), 3, 1);
     assert!(correction > Duration::from_millis(150), "{correction:?}");
@@ -210,7 +210,7 @@
 /// What ends early earns no credit: it would be taken for what is late next.
 #[test]
 fn ends_that_come_early_are_not_taken_off() {
-    let mut expectation = Expectation::default();
+    let mut expectation = EstimateBias::default();
     learn(&mut expectation, 10_000, 3, -300);
     let correction = expectation.correction(MonoTime::from_millis(13_000), 3, 1);
     assert_eq!(correction, Duration::ZERO);
@@ -221,7 +221,7 @@
 /// have been in time was worked on last for as long as the load lasted.
 #[test]
 fn a_correction_that_lets_nothing_through_is_soon_forgotten() {
-    let mut expectation = Expectation::default();
+    let mut expectation = EstimateBias::default();
     learn(&mut expectation, 10_000, 5, 5_000);
     let at = |ms| expectation.correction(MonoTime::from_millis(ms), 3, 1);
     assert!(at(15_000) <= Duration::from_millis(400));
@@ -233,7 +233,7 @@
 /// sample, and requests were kept behind each other long after all was well.
 #[test]
 fn what_was_slow_is_forgotten() {
-    let mut world = World::new(&["first"], 1);
+    let mut world = Simulation::new(&["first"], 1);
     for round in 0..2 {
         for upstream in ["first-1", "first-2"] {
             world.silent.insert(upstream.into());
@@ -259,7 +259,7 @@
 /// been in time, and was late all the same.
 #[test]
 fn who_comes_back_is_not_served_before_who_can_be_in_time() {
-    let mut world = World::new(&["first"], 1);
+    let mut world = Simulation::new(&["first"], 1);
     let mut refused = None;
     for id in 0..60 {
         let job = world.chain(id, &[("first", 2)], 900);
@@ -291,7 +291,7 @@
 /// Pieces wait for a turn, and what the upstreams take is used.
 #[test]
 fn pieces_wait_for_the_turn_of_limited_upstreams() {
-    let mut world = World::new(&["first"], 10);
+    let mut world = Simulation::new(&["first"], 10);
     let every = Duration::from_secs(1);
     for upstream in ["first-1", "first-2"] {
         world
