--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -124,7 +124,7 @@
             // It is looked for again when it is no longer left alone, and may have
             // started just before.
             let looked_for = self.chosen.upstream.ejected_until();
-            lock(&self.chosen.cold).may_have_started(looked_for);
+            lock(&self.chosen.cold).record_possible_start(looked_for);
         }
         self.state.metrics.attempt(outcome.as_str());
     }
--- a/crates/gateway/src/crash_reporter.rs
+++ b/crates/gateway/src/crash_reporter.rs
@@ -10,7 +10,7 @@
 use jd_net::Probe;
 use jd_net::lock;
 use jd_serving::BrokenRun;
-use jd_serving::UpstreamEnd;
+use jd_serving::UpstreamCrash;
 use jd_types::MonoTime;
 
 use crate::peer_quarantine::Report;
@@ -144,7 +144,7 @@
         );
         if seen == Seen::Ended {
             self.tell(Report {
-                ends: vec![UpstreamEnd {
+                ends: vec![UpstreamCrash {
                     service: upstream.service,
                     upstream: upstream.upstream,
                     start: upstream.start,
@@ -180,7 +180,7 @@
     fn tell(self: &Arc<Self>, report: Report) {
         let coordinators = self.state.coordinators().into_iter().take(COORDINATORS);
         for coordinator in coordinators {
-            if coordinator == self.state.me.peers {
+            if coordinator == self.state.me.peer_address {
                 self.coordinator.take(report.clone());
                 continue;
             }
--- a/crates/gateway/src/event_stream.rs
+++ b/crates/gateway/src/event_stream.rs
@@ -11,7 +11,7 @@
 use jd_net::SendError;
 use jd_net::within;
 use jd_serving::EventSplitter;
-use jd_serving::Repeat;
+use jd_serving::RetryMode;
 use jd_types::AttemptOutcome;
 use jd_types::MonoTime;
 use snafu::Snafu;
@@ -153,7 +153,7 @@
             ms = took.as_millis() as u64;
             "stream ended"
         );
-        let rest = self.splitter.rest();
+        let rest = self.splitter.take_remaining();
         (!rest.is_empty()).then_some((Ok(rest), self))
     }
 
@@ -185,7 +185,7 @@
 
     fn may_go_on(&self) -> bool {
         let route = self.call.route();
-        route.repeat == Repeat::Resumable && self.offers.runs < route.max_attempts
+        route.retry_mode == RetryMode::Resumable && self.offers.runs < route.max_attempts
     }
 
     /// Goes on at another upstream after the last whole event; false if that is
@@ -193,7 +193,7 @@
     async fn go_on(&mut self, outcome: AttemptOutcome) -> bool {
         self.response = None;
         self.open.end(outcome);
-        let _torn = self.splitter.rest();
+        let _torn = self.splitter.take_remaining();
         while self.may_go_on() && self.state.may_repeat(&self.call.service) {
             match self.stages.run(&self.call).await {
                 Ok(results) => self.results = results,
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -23,7 +23,7 @@
 use jd_serving::Caller;
 use jd_serving::Content;
 use jd_serving::Prompt;
-use jd_serving::Repeat;
+use jd_serving::RetryMode;
 use jd_serving::Route;
 use jd_serving::RouteKey;
 use jd_serving::Router;
@@ -93,9 +93,9 @@
 
     async fn run(&self, call: Call) -> Result<Response<Body>, Refusal> {
         call.check_quarantine(&self.state, 0)?;
-        match call.route().repeat {
-            Repeat::Idempotent | Repeat::Once => plain_call::run(&self.state, call).await,
-            Repeat::Resumable | Repeat::StreamOnce => {
+        match call.route().retry_mode {
+            RetryMode::Idempotent | RetryMode::Once => plain_call::run(&self.state, call).await,
+            RetryMode::Resumable | RetryMode::StreamOnce => {
                 stream_call::run(&self.state, &self.stages, call).await
             }
         }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -93,8 +93,8 @@
     ) -> Result<Gateway, StartError> {
         let me = InstanceEntry {
             incarnation: Incarnation::new(fastrand::u64(1..)),
-            callers: settings.callers,
-            peers: settings.peers,
+            caller_address: settings.callers,
+            peer_address: settings.peers,
             zone: settings.zone.clone(),
             strength: Strength::new(settings.core_percent, settings.link_mbps),
             leaving: false,
@@ -261,7 +261,7 @@
     ServerLimits {
         connections: settings.max_connections,
         head_bytes: limits.head_bytes,
-        head_within: limits.idle.max(limits.head_within),
+        head_within: limits.idle_timeout.max(limits.head_timeout),
         http1_only: true,
         ..ServerLimits::default()
     }
--- a/crates/gateway/src/knowledge.rs
+++ b/crates/gateway/src/knowledge.rs
@@ -7,7 +7,7 @@
 use jd_serving::Freshness;
 use jd_serving::InstanceDirectory;
 use jd_serving::Shard;
-use jd_serving::SourceState;
+use jd_serving::SourceHealth;
 use jd_serving::StoreItem;
 use jd_serving::StoreMirror;
 use jd_serving::UpstreamDirectory;
@@ -39,7 +39,7 @@
     pub(crate) ahead: Option<(Incarnation, MonoTime)>,
     pub(crate) mirror: StoreMirror,
     /// Instances that brought no news or had lost the store, and when.
-    sources: HashMap<Incarnation, (MonoTime, SourceState)>,
+    sources: HashMap<Incarnation, (MonoTime, SourceHealth)>,
     /// When the store's list of instances was first read.
     pub(crate) listed_at: Option<MonoTime>,
     /// Earlier starts of this instance whose entries the store still has.
@@ -50,17 +50,17 @@
 
 impl Knowledge {
     /// What an instance was lately like as a source of news.
-    pub(crate) fn source_state(&self, now: MonoTime, id: Incarnation) -> SourceState {
+    pub(crate) fn source_state(&self, now: MonoTime, id: Incarnation) -> SourceHealth {
         match self.sources.get(&id) {
             Some((since, state)) if now.since(*since) < SOURCE_STATE_LASTS => *state,
-            _ => SourceState::Able,
+            _ => SourceHealth::Available,
         }
     }
 
     /// An instance was like this as a source of news.
-    pub(crate) fn note_source(&mut self, now: MonoTime, id: Incarnation, state: SourceState) {
+    pub(crate) fn note_source(&mut self, now: MonoTime, id: Incarnation, state: SourceHealth) {
         match state {
-            SourceState::Able => self.sources.remove(&id),
+            SourceHealth::Available => self.sources.remove(&id),
             _ => self.sources.insert(id, (now, state)),
         };
     }
--- a/crates/gateway/src/limiters.rs
+++ b/crates/gateway/src/limiters.rs
@@ -9,7 +9,7 @@
 use jd_net::lock;
 use jd_net::within;
 use jd_serving::LimitNotice;
-use jd_serving::LimiterPart;
+use jd_serving::LimiterShare;
 use jd_serving::RateLimiter;
 use jd_serving::Shard;
 use jd_types::MonoTime;
@@ -57,10 +57,11 @@
         };
         let address = state.upstreams.load().address_of(id);
         let shard = address.map(shard_of);
-        let first = shard.is_some_and(|s| state.owner_order(&s).first() == Some(&state.me.peers));
+        let first =
+            shard.is_some_and(|s| state.owner_order(&s).first() == Some(&state.me.peer_address));
         let part = match first {
-            true => LimiterPart::Whole,
-            false => LimiterPart::Quarter,
+            true => LimiterShare::Whole,
+            false => LimiterShare::Quarter,
         };
         let mut own = lock(&self.own);
         if own.len() > MANY {
@@ -90,7 +91,7 @@
     ) -> Result<(), Duration> {
         let order = state.owner_order(&shard_of(upstream.address));
         for limiter in order {
-            if limiter == state.me.peers {
+            if limiter == state.me.peer_address {
                 return self.acquire(state, &upstream.upstream, priority);
             }
             if self.is_silent(state.now(), limiter) {
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -65,7 +65,7 @@
                 let said = LimitNotice {
                     start: upstream.start,
                     limit,
-                    heard: now,
+                    received_at: now,
                 };
                 self.take(now, &upstream.upstream, said, LimitSource::Answer, metrics);
             }
@@ -92,7 +92,7 @@
     /// What was last heard of an upstream's limit that counts.
     pub(crate) fn of(&self, id: &str) -> Option<LimitNotice> {
         match self.any() {
-            true => lock(&self.known).of(id),
+            true => lock(&self.known).notice(id),
             false => None,
         }
     }
@@ -103,7 +103,7 @@
             return Vec::new();
         }
         let known = lock(&self.known);
-        let told = known.told(now);
+        let told = known.announced(now);
         told.map(|(id, notice)| (id.into(), notice)).collect()
     }
 
@@ -116,7 +116,7 @@
     ) {
         if self.any() {
             let mut known = lock(&self.known);
-            known.forget_gone(now, start_of);
+            known.remove_gone(now, start_of);
             metrics.limited_upstreams(known.count());
             self.any.store(!known.is_empty(), Ordering::Relaxed);
         }
@@ -132,7 +132,7 @@
         metrics: &Metrics,
     ) {
         let mut known = lock(&self.known);
-        let Some(change) = known.take(id, said) else {
+        let Some(change) = known.record(id, said) else {
             return;
         };
         self.any.store(true, Ordering::Relaxed);
@@ -141,7 +141,7 @@
             upstream = id,
             per_s:? = change.now.map(|r| r.per_s()),
             before:? = change.before.map(|r| r.per_s()),
-            heard_ms = now.since(said.heard).as_millis() as u64,
+            heard_ms = now.since(said.received_at).as_millis() as u64,
             source:? = source;
             "limit of an upstream"
         );
--- a/crates/gateway/src/notices.rs
+++ b/crates/gateway/src/notices.rs
@@ -11,7 +11,7 @@
 use jd_net::HttpResponse;
 use jd_net::lock;
 use jd_serving::Backoffs;
-use jd_serving::FleetPlace;
+use jd_serving::FleetPosition;
 use jd_serving::RetryAfter;
 use jd_serving::RetryAfterError;
 use jd_serving::UpstreamStart;
@@ -41,7 +41,7 @@
         start: UpstreamStart,
     ) -> Option<Duration> {
         match self.any.load(Ordering::Relaxed) {
-            true => lock(&self.backoffs).left(now, address, id, start),
+            true => lock(&self.backoffs).remaining(now, address, id, start),
             false => None,
         }
     }
@@ -69,7 +69,7 @@
         now: MonoTime,
         upstream: &UpstreamRef,
         wait: RetryAfter,
-        place: FleetPlace,
+        place: FleetPosition,
     ) -> bool {
         let UpstreamRef {
             upstream: id,
@@ -78,7 +78,7 @@
             ..
         } = upstream;
         let mut backoffs = lock(&self.backoffs);
-        let longer = backoffs.take(now, *address, id, *start, wait, place);
+        let longer = backoffs.record(now, *address, id, *start, wait, place);
         self.any.store(true, Ordering::Relaxed);
         longer
     }
@@ -110,7 +110,7 @@
 fn note_leaving(state: &State, upstream: &UpstreamRef) {
     let (now, id) = (state.now(), upstream.upstream.as_str());
     let mut knowledge = state.knowledge();
-    let news = knowledge.upstreams.says_leaving(now, id, upstream.start);
+    let news = knowledge.upstreams.mark_leaving(now, id, upstream.start);
     drop(knowledge);
     if !news {
         return;
@@ -129,7 +129,9 @@
     } = upstream;
     let now = state.now();
     let mut knowledge = state.knowledge();
-    let news = knowledge.upstreams.is_elsewhere(now, id, *start, *address);
+    let news = knowledge
+        .upstreams
+        .mark_address_reused(now, id, *start, *address);
     drop(knowledge);
     if news {
         state.rebuild_upstreams();
--- a/crates/gateway/src/peer_api.rs
+++ b/crates/gateway/src/peer_api.rs
@@ -60,13 +60,13 @@
         self.state.quarantine.take(now, Source::Beat, told);
         peer_limits::take(&self.state, beat.limits);
         let from = Incarnation::new(beat.incarnation);
-        self.state.knowledge().instances.heard(
+        self.state.knowledge().instances.record_heartbeat(
             now,
             from,
             Heartbeat {
                 leaving: beat.leaving,
                 ready: beat.ready,
-                has_read: beat.has_read,
+                store_loaded: beat.has_read,
             },
         );
         let backlogs = self.batches.backlogs();
--- a/crates/gateway/src/peer_channels.rs
+++ b/crates/gateway/src/peer_channels.rs
@@ -36,6 +36,6 @@
 
     /// Closes the connections to all but these instances.
     pub(crate) fn keep(&self, peers: &[InstanceEntry]) {
-        lock(&self.open).retain(|address, _| peers.iter().any(|p| p.peers == *address));
+        lock(&self.open).retain(|address, _| peers.iter().any(|p| p.peer_address == *address));
     }
 }
--- a/crates/gateway/src/peer_instance.rs
+++ b/crates/gateway/src/peer_instance.rs
@@ -10,8 +10,8 @@
 pub(crate) fn wire_instance(entry: &InstanceEntry) -> Instance {
     Instance {
         incarnation: entry.incarnation.get(),
-        callers: entry.callers.to_string(),
-        peers: entry.peers.to_string(),
+        callers: entry.caller_address.to_string(),
+        peers: entry.peer_address.to_string(),
         zone: entry.zone.as_str().into(),
         strength: entry.strength.step(),
     }
@@ -21,8 +21,8 @@
 pub(crate) fn instance_of(instance: &Instance) -> Option<InstanceEntry> {
     Some(InstanceEntry {
         incarnation: Incarnation::new(instance.incarnation),
-        callers: instance.callers.parse().ok()?,
-        peers: instance.peers.parse().ok()?,
+        caller_address: instance.callers.parse().ok()?,
+        peer_address: instance.peers.parse().ok()?,
         zone: Name::try_from(instance.zone.as_str()).ok()?,
         strength: Strength::from_step(instance.strength),
         leaving: false,
--- a/crates/gateway/src/peer_limits.rs
+++ b/crates/gateway/src/peer_limits.rs
@@ -21,7 +21,7 @@
 pub(crate) fn told(state: &State) -> Vec<UpstreamLimit> {
     let now = state.now();
     let mut told = state.limits.told(now);
-    told.sort_unstable_by_key(|(_, notice)| now.since(notice.heard));
+    told.sort_unstable_by_key(|(_, notice)| now.since(notice.received_at));
     told.truncate(MOST_TOLD);
     let told = told.into_iter();
     told.map(|(id, notice)| wire_limit(&id, notice, now))
@@ -91,7 +91,7 @@
 }
 
 fn wire_limit(id: &str, notice: LimitNotice, now: MonoTime) -> UpstreamLimit {
-    let heard_ago = now.since(notice.heard).as_millis();
+    let heard_ago = now.since(notice.received_at).as_millis();
     UpstreamLimit {
         upstream: id.into(),
         start_ms: notice.start.millis().unwrap_or(0),
@@ -103,12 +103,12 @@
 /// What a message says of a limit; none if that is no rate.
 fn notice_of(limit: &UpstreamLimit, now: MonoTime) -> Option<LimitNotice> {
     let start = match limit.start_ms {
-        0 => UpstreamStart::UNTOLD,
+        0 => UpstreamStart::UNKNOWN,
         ms => UpstreamStart::at_millis(ms),
     };
     Some(LimitNotice {
         start,
         limit: limit.per_s.map(RequestRate::try_from).transpose().ok()?,
-        heard: now.before(Duration::from_millis(u64::from(limit.heard_ms_ago))),
+        received_at: now.before(Duration::from_millis(u64::from(limit.heard_ms_ago))),
     })
 }
--- a/crates/gateway/src/peer_news.rs
+++ b/crates/gateway/src/peer_news.rs
@@ -6,11 +6,11 @@
 use bytes::Bytes;
 use futures_lite::FutureExt;
 use jd_net::lock;
-use jd_serving::News;
 use jd_serving::Proof;
-use jd_serving::SourceState;
+use jd_serving::SourceHealth;
 use jd_serving::StoreItem;
 use jd_serving::StoreRevision;
+use jd_serving::StoreUpdate;
 use jd_types::Incarnation;
 use jd_types::MonoTime;
 use jd_wire::FollowReply;
@@ -33,7 +33,7 @@
 #[derive(Debug)]
 pub(crate) struct Heard {
     /// In the order in which it is to be taken in.
-    pub(crate) news: Vec<News>,
+    pub(crate) news: Vec<StoreUpdate>,
     pub(crate) proof: Option<Proof>,
     /// True while the store does not answer it.
     pub(crate) store_away: bool,
@@ -44,7 +44,7 @@
     let now = state.now();
     let knowledge = state.knowledge();
     let after = knowledge.mirror.revision();
-    let knows_away = knowledge.source_state(now, id) == SourceState::StoreAway;
+    let knows_away = knowledge.source_state(now, id) == SourceHealth::StoreUnavailable;
     drop(knowledge);
     FollowRequest {
         after: after.revision,
@@ -65,8 +65,8 @@
     let all = match reply.packed.as_slice() {
         [] => None,
         packed => match jd_wire::unpack(packed) {
-            Ok(items) => Some(News {
-                whole: true,
+            Ok(items) => Some(StoreUpdate {
+                is_full: true,
                 items: items_of(items),
                 revision: at(reply.packed_era, reply.packed_revision),
             }),
@@ -76,8 +76,8 @@
             }
         },
     };
-    let newer = News {
-        whole: reply.whole,
+    let newer = StoreUpdate {
+        is_full: reply.whole,
         items: items_of(reply.items),
         revision: at(reply.era, reply.revision),
     };
@@ -135,19 +135,19 @@
     let mut pieces = lock(&state.packed);
     let knowledge = state.knowledge();
     let mirror = &knowledge.mirror;
-    if mirror.revision() == StoreRevision::NOTHING || !mirror.is_behind(after) {
+    if mirror.revision() == StoreRevision::ZERO || !mirror.needs_full_update(after) {
         return None;
     }
     let PackedPieces { latest, earlier } = &*pieces;
-    if has == earlier.revision && !earlier.bytes.is_empty() && !mirror.is_behind(has) {
+    if has == earlier.revision && !earlier.bytes.is_empty() && !mirror.needs_full_update(has) {
         return Some(earlier.clone());
     }
     let packed = latest;
-    let is_old = mirror.is_behind(packed.revision)
-        || mirror.written_after(packed.revision) > mirror.records() / PACKED_BEHIND
+    let is_old = mirror.needs_full_update(packed.revision)
+        || mirror.written_after(packed.revision) > mirror.record_count() / PACKED_BEHIND
         || packed.bytes.is_empty();
     if is_old {
-        let all = mirror.since(StoreRevision::NOTHING);
+        let all = mirror.updates_since(StoreRevision::ZERO);
         drop(knowledge);
         match jd_wire::pack(wire_items(all.items)) {
             Ok(bytes) => {
@@ -173,7 +173,7 @@
 /// told after the whole wait, so that a zone was five seconds behind the store.
 pub(crate) async fn answer(state: &State, req: FollowRequest) -> FollowReply {
     let came = state.now();
-    if at(req.after_era, req.after) == StoreRevision::NOTHING && !state.has_read() {
+    if at(req.after_era, req.after) == StoreRevision::ZERO && !state.has_read() {
         state.all_wanted.give();
     }
     let until = came + Duration::from_millis(u64::from(req.wait_ms));
@@ -201,10 +201,13 @@
         ..FollowReply::default()
     };
     if jd_wire::put_part(&mut reply, &packed.bytes, &req) {
-        let news = state.knowledge().mirror.since(asked.max(packed.revision));
+        let news = state
+            .knowledge()
+            .mirror
+            .updates_since(asked.max(packed.revision));
         reply.revision = news.revision.revision;
         reply.era = news.revision.era;
-        reply.whole = news.whole;
+        reply.whole = news.is_full;
         reply.items = wire_items(news.items);
     }
     reply
@@ -215,11 +218,11 @@
         return true;
     }
     let knowledge = state.knowledge();
-    let theirs = req.proof.map(|p| proof_at(came, p).asked);
+    let theirs = req.proof.map(|p| proof_at(came, p).asked_at);
     // It counts there only if it is of the same era.
     let ours = knowledge.freshness.proof();
     let ours = ours.filter(|p| p.revision.era == req.after_era);
-    let ours = ours.map(|p| p.asked);
+    let ours = ours.map(|p| p.asked_at);
     let younger = match (ours, theirs) {
         (Some(ours), Some(theirs)) => ours > theirs + YOUNGER_BY,
         (ours, None) => ours.is_some(),
@@ -231,7 +234,7 @@
 /// The youngest proof of what is in force, with its age.
 pub(crate) fn wire_proof(state: &State) -> Option<WireProof> {
     let proof = state.knowledge().freshness.proof()?;
-    let age = state.now().since(proof.asked);
+    let age = state.now().since(proof.asked_at);
     Some(WireProof {
         revision: proof.revision.revision,
         era: proof.revision.era,
@@ -243,7 +246,7 @@
 /// A proof of another instance, whose age counts back from `moment`.
 pub(crate) fn proof_at(moment: MonoTime, proof: WireProof) -> Proof {
     Proof {
-        asked: moment.before(Duration::from_millis(u64::from(proof.ms_ago))),
+        asked_at: moment.before(Duration::from_millis(u64::from(proof.ms_ago))),
         revision: at(proof.era, proof.revision),
     }
 }
--- a/crates/gateway/src/peer_quarantine.rs
+++ b/crates/gateway/src/peer_quarantine.rs
@@ -7,7 +7,7 @@
 use jd_serving::Content;
 use jd_serving::QuarantinePhase;
 use jd_serving::QuarantineState;
-use jd_serving::UpstreamEnd;
+use jd_serving::UpstreamCrash;
 use jd_serving::UpstreamStart;
 use jd_types::MonoTime;
 use jd_wire::BrokenRun as WireRun;
@@ -22,7 +22,7 @@
 /// What one instance tells the coordinators.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Report {
-    pub(crate) ends: Vec<UpstreamEnd>,
+    pub(crate) ends: Vec<UpstreamCrash>,
     pub(crate) completed_runs: Vec<CompletedRun>,
 }
 
@@ -60,11 +60,11 @@
         content: Content::from_number(run.content),
         began: ago(run.began_ms_ago),
     };
-    let ends = req.ends.into_iter().map(|end| UpstreamEnd {
+    let ends = req.ends.into_iter().map(|end| UpstreamCrash {
         service: end.service.into(),
         upstream: end.upstream.into(),
         start: match end.start_ms {
-            0 => UpstreamStart::UNTOLD,
+            0 => UpstreamStart::UNKNOWN,
             ms => UpstreamStart::at_millis(ms),
         },
         at: ago(end.ended_ms_ago),
@@ -84,7 +84,7 @@
 /// All that is held here against requests, for a heartbeat.
 pub(crate) fn wire_quarantine(quarantine: &Quarantine, now: MonoTime) -> Vec<WireQuarantine> {
     let list = quarantine.list();
-    let told = list.all(now).map(|(content, held)| WireQuarantine {
+    let told = list.entries(now).map(|(content, held)| WireQuarantine {
         content: content.number(),
         round: held.state.round,
         phase: match held.state.phase {
@@ -92,7 +92,7 @@
             QuarantinePhase::Quarantined => 2,
             QuarantinePhase::Released => 3,
         },
-        lapses_in_ms: millis(held.lapses.since(now)),
+        lapses_in_ms: millis(held.expires_at.since(now)),
     });
     told.collect()
 }
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -13,7 +13,7 @@
 use jd_serving::JobFailure;
 use jd_serving::Shard;
 use jd_serving::StageJob;
-use jd_serving::watched;
+use jd_serving::heartbeat_peers;
 use jd_types::Incarnation;
 use jd_types::MonoTime;
 use jd_wire::BeatReply;
@@ -202,22 +202,22 @@
 
     fn address_of(&self, id: Incarnation) -> Option<SocketAddr> {
         let knowledge = self.state.knowledge();
-        Some(knowledge.instances.entry(id)?.peers)
+        Some(knowledge.instances.entry(id)?.peer_address)
     }
 
     /// The instances that heartbeats are exchanged with, noted as watched.
     fn watched(&self, mut all: Vec<InstanceEntry>) -> Vec<InstanceEntry> {
         let shards = self.state.watched_shards();
         let source = self.state.news_source().instance();
-        let ids = watched(&self.state.me, &all, &shards, source);
+        let ids = heartbeat_peers(&self.state.me, &all, &shards, source);
         let now = self.state.now();
-        self.state.knowledge().instances.watch(now, &ids);
+        self.state.knowledge().instances.set_monitored(now, &ids);
         all.retain(|e| ids.contains(&e.incarnation));
         all
     }
 
     async fn beat_one(&self, peer: &InstanceEntry) {
-        let channel = self.state.channels.to(peer.peers);
+        let channel = self.state.channels.to(peer.peer_address);
         let mut client = GatewayClient::new(channel.clone());
         let beat = BeatRequest {
             incarnation: self.state.me.incarnation.get(),
@@ -257,24 +257,24 @@
         }
         let unlisted = reply.unlisted.iter();
         for entry in unlisted.filter_map(peer_instance::instance_of) {
-            if entry.peers != self.state.me.peers {
-                knowledge.instances.told(now, entry);
+            if entry.peer_address != self.state.me.peer_address {
+                knowledge.instances.add_reported(now, entry);
             }
         }
         let said = Heartbeat {
             leaving: reply.leaving,
             ready: reply.ready,
-            has_read: reply.has_read,
+            store_loaded: reply.has_read,
         };
         match Incarnation::new(reply.incarnation) {
             id if id == peer.incarnation => {
-                knowledge.instances.heard(now, id, said);
+                knowledge.instances.record_heartbeat(now, id, said);
                 knowledge.note_version(now, id, reply.version);
             }
             later => {
                 let instances = &mut knowledge.instances;
-                instances.started_anew(now, peer.incarnation, later);
-                instances.heard(now, later, said);
+                instances.record_restart(now, peer.incarnation, later);
+                instances.record_heartbeat(now, later, said);
             }
         }
     }
--- a/crates/gateway/src/plain_call.rs
+++ b/crates/gateway/src/plain_call.rs
@@ -12,7 +12,7 @@
 use jd_net::Body;
 use jd_net::SendError;
 use jd_net::within;
-use jd_serving::Repeat;
+use jd_serving::RetryMode;
 use jd_types::AttemptOutcome;
 use jd_types::Refusal;
 use jd_types::RefusalKind;
@@ -76,9 +76,9 @@
             .is_some_and(|f| f.outcome.run_state() == RunState::NotRun);
         offers.runs += u32::from(!proved);
         let runs = offers.runs;
-        let allowed = match call.route().repeat {
+        let allowed = match call.route().retry_mode {
             _ if proved => offers.tried.len() < MAX_OFFERS,
-            Repeat::Idempotent => runs < call.route().max_attempts,
+            RetryMode::Idempotent => runs < call.route().max_attempts,
             _ => false,
         };
         if allowed && state.may_repeat(&call.service) {
@@ -175,7 +175,8 @@
 /// for that; what may not waits as long as its caller does.
 fn patience(call: &Call, now: jd_types::MonoTime, runs: u32) -> Duration {
     let left = call.left(now);
-    let repeats = call.route().repeat == Repeat::Idempotent && runs + 1 < call.route().max_attempts;
+    let repeats =
+        call.route().retry_mode == RetryMode::Idempotent && runs + 1 < call.route().max_attempts;
     match repeats {
         true => left / 2,
         false => left,
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -66,7 +66,7 @@
         let list = self.list.load();
         match list.is_empty() {
             true => None,
-            false => list.quarantine_left(now, content),
+            false => list.quarantine_remaining(now, content),
         }
     }
 
@@ -77,14 +77,14 @@
     /// Takes in what is told.
     pub(crate) fn take(&self, now: MonoTime, source: Source, told: impl IntoIterator<Item = Told>) {
         for t in told {
-            let known = self.list.load().of(now, t.content);
+            let known = self.list.load().get(now, t.content);
             if known.is_some_and(|h| h.state >= t.state) {
                 continue;
             }
             let mut is_news = false;
             self.list.rcu(|s| {
                 let mut next = QuarantineList::clone(s);
-                is_news = next.take(now, t.content, t.state, t.left);
+                is_news = next.merge(now, t.content, t.state, t.left);
                 next
             });
             if is_news {
@@ -109,7 +109,7 @@
     pub(crate) fn note_stored(&self, content: Content, state: Option<QuarantineState>) {
         self.list.rcu(|s| {
             let mut next = QuarantineList::clone(s);
-            next.stored(content, state);
+            next.set_stored(content, state);
             next
         });
     }
@@ -121,7 +121,7 @@
         }
         self.list.rcu(|s| {
             let mut next = QuarantineList::clone(s);
-            next.relist(stored);
+            next.replace_stored(stored);
             next
         });
     }
@@ -129,8 +129,8 @@
     /// A request ran to its end at a service.
     pub(crate) fn note_ran(&self, now: MonoTime, service: &str, content: Content) {
         lock(&self.recent).note(now, service, content);
-        let held = self.list.load().of(now, content);
-        if held.is_some_and(|h| h.state.is_open()) {
+        let held = self.list.load().get(now, content);
+        if held.is_some_and(|h| h.state.is_active()) {
             self.run_events.add(RunEvent::Ran(CompletedRun {
                 service: service.into(),
                 content,
@@ -142,7 +142,7 @@
     /// What ran well here lately of that against which something is held.
     pub(crate) fn remembered(&self, now: MonoTime) -> Vec<CompletedRun> {
         let list = self.list.load();
-        let open = list.all(now).filter(|(_, h)| h.state.is_open());
+        let open = list.entries(now).filter(|(_, h)| h.state.is_active());
         let recent = lock(&self.recent);
         open.flat_map(|(content, _)| recent.of(now, content))
             .collect()
--- a/crates/gateway/src/quarantine_coordinator.rs
+++ b/crates/gateway/src/quarantine_coordinator.rs
@@ -12,7 +12,7 @@
 use jd_serving::Content;
 use jd_serving::CrashEvidence;
 use jd_serving::Finding;
-use jd_serving::HELD_FOR;
+use jd_serving::QUARANTINE_TTL;
 use jd_serving::QuarantineEntry;
 use jd_serving::QuarantinePhase;
 use jd_serving::QuarantineState;
@@ -65,11 +65,11 @@
         let now = state.now();
         let mut evidence = lock(&self.evidence);
         for end in report.ends {
-            evidence.ended(now, end);
+            evidence.record_crash(now, end);
         }
         let mut cleared = Vec::new();
         for run in report.completed_runs {
-            if evidence.completed(&run) || self.is_later(now, &run) {
+            if evidence.record_completed_run(&run) || self.is_later(now, &run) {
                 cleared.push(run.content);
             }
         }
@@ -92,8 +92,8 @@
             return false;
         }
         let list = self.link.state.quarantine.list();
-        let held = list.of(now, run.content);
-        held.is_some_and(|h| run.at > h.since())
+        let held = list.get(now, run.content);
+        held.is_some_and(|h| run.at > h.first_recorded())
     }
 
     /// Looks for good at what ended, and keeps the quarantine in the store.
@@ -126,7 +126,7 @@
 
     fn is_first(&self) -> bool {
         let state = &self.link.state;
-        state.coordinators().first() == Some(&state.me.peers)
+        state.coordinators().first() == Some(&state.me.peer_address)
     }
 
     fn look(&self) {
@@ -142,7 +142,7 @@
             return;
         }
         let table = state.upstreams.load();
-        evidence.check(now, |id, start| table.start_of(id) == Some(start));
+        evidence.discard_listed(now, |id, start| table.start_of(id) == Some(start));
         let findings = evidence.findings(now);
         drop(evidence);
         // Who held it has the evidence, and may not be the first any more.
@@ -170,23 +170,23 @@
         log::warn!(
             content:% = finding.content,
             phase = phase.as_str(),
-            ends = finding.ends,
-            longest_ms = finding.longest.as_millis() as u64;
+            ends = finding.crashes,
+            longest_ms = finding.longest_run.as_millis() as u64;
             "upstreams ended with a request"
         );
         if phase == QuarantinePhase::Quarantined {
             let list = quarantine.list();
             let mut held_here = lock(&self.held_here);
-            held_here.retain(|c| list.of(now, *c).is_some());
+            held_here.retain(|c| list.get(now, *c).is_some());
             held_here.insert(finding.content);
         }
-        self.decide(now, finding.content, next, HELD_FOR);
+        self.decide(now, finding.content, next, QUARANTINE_TTL);
     }
 
     fn release(&self, now: MonoTime, content: Content, why: &'static str) {
         let quarantine = &self.link.state.quarantine;
-        let held = quarantine.list().of(now, content);
-        let Some(held) = held.filter(|h| h.state.is_open()) else {
+        let held = quarantine.list().get(now, content);
+        let Some(held) = held.filter(|h| h.state.is_active()) else {
             return;
         };
         log::warn!(content:% = content, reason = why; "request released from quarantine");
@@ -194,7 +194,7 @@
             phase: QuarantinePhase::Released,
             ..held.state
         };
-        self.decide(now, content, next, held.lapses.since(now));
+        self.decide(now, content, next, held.expires_at.since(now));
     }
 
     fn decide(&self, now: MonoTime, content: Content, next: QuarantineState, left: Duration) {
@@ -214,8 +214,8 @@
     /// would end three upstreams more. A suspicion is not worth a call.
     async fn write(&self, now: MonoTime) -> Result<(), StoreError> {
         let list = self.link.state.quarantine.list();
-        for (content, held) in list.all(now) {
-            if lacks(&held) && held.lapses.since(now) > LEAST_LEASE {
+        for (content, held) in list.entries(now) {
+            if lacks(&held) && held.expires_at.since(now) > LEAST_LEASE {
                 self.write_one(now, content, held).await?;
             }
         }
@@ -228,7 +228,7 @@
         content: Content,
         held: QuarantineEntry,
     ) -> Result<(), StoreError> {
-        let left = held.lapses.since(now);
+        let left = held.expires_at.since(now);
         let StoreLink { state, store, .. } = &*self.link;
         let taking = store.lease(left);
         let lease = self.link.call(StoreCall::Lease, CALL_WITHIN, taking);
--- a/crates/gateway/src/result_free.rs
+++ b/crates/gateway/src/result_free.rs
@@ -84,7 +84,7 @@
         let upstream = listed.unwrap_or_else(|| UpstreamRef {
             service: CompactString::default(),
             upstream: CompactString::default(),
-            start: UpstreamStart::UNTOLD,
+            start: UpstreamStart::UNKNOWN,
             address,
         });
         let Ok(permit) = state.gate.permit(state, upstream, Purpose::Upkeep).await else {
--- a/crates/gateway/src/result_release.rs
+++ b/crates/gateway/src/result_release.rs
@@ -45,7 +45,7 @@
             Timer::after(GATHER).await;
             let gathered = std::mem::take(&mut *lock(&self.gathered));
             for (owner, handles) in gathered {
-                if owner == self.state.me.peers {
+                if owner == self.state.me.peer_address {
                     self.batches.release(handles);
                     continue;
                 }
--- a/crates/gateway/src/send_gate.rs
+++ b/crates/gateway/src/send_gate.rs
@@ -261,7 +261,7 @@
         if let Purpose::Request { cold, .. } = &self.purpose
             && let Some(spec) = state.cold_spec(&self.to.service)
         {
-            lock(cold).sent(state.now(), spec);
+            lock(cold).record_sent(state.now(), spec);
         }
         Ok(())
     }
@@ -277,6 +277,6 @@
         }
         // Asked for while nothing is locked.
         let place = state.fleet_place(self.to.address);
-        lock(cold).bears(now, spec, place)
+        lock(cold).may_send(now, spec, place)
     }
 }
--- a/crates/gateway/src/stage_runner.rs
+++ b/crates/gateway/src/stage_runner.rs
@@ -106,7 +106,7 @@
     pub(crate) async fn run(&self, call: &Call) -> Result<StageResults, Refusal> {
         call.check_quarantine(&self.state, 0)?;
         let (owner, handles) = match self.job(call) {
-            None => (self.state.me.peers, Vec::new()),
+            None => (self.state.me.peer_address, Vec::new()),
             Some(job) => self.run_job(call, &job).await?,
         };
         Ok(StageResults {
@@ -149,7 +149,7 @@
         &self,
         job: &StageJob,
     ) -> Result<(SocketAddr, Vec<CompactString>), JobFailure> {
-        let me = self.state.me.peers;
+        let me = self.state.me.peer_address;
         let shard = self.shard(job).ok_or(JobFailure::NoUpstream)?;
         self.state.use_shard(&shard);
         for owner in self.state.owner_order(&shard) {
@@ -193,7 +193,7 @@
 
     fn is_heard(&self, owner: SocketAddr) -> bool {
         let now = self.state.now();
-        self.state.knowledge().instances.is_there(now, owner)
+        self.state.knowledge().instances.is_present_at(now, owner)
     }
 
     /// The shard that a job goes to; none if no shard does all of its stages.
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -20,19 +20,19 @@
 use jd_net::lock;
 use jd_serving::ColdSpec;
 use jd_serving::Content;
-use jd_serving::FleetPlace;
+use jd_serving::FleetPosition;
 use jd_serving::InstanceEntry;
-use jd_serving::NewsSource;
-use jd_serving::RepeatBound;
-use jd_serving::RepeatBudget;
+use jd_serving::RecentShards;
+use jd_serving::RetryBudget;
+use jd_serving::RetryLimit;
 use jd_serving::Router;
 use jd_serving::Shard;
 use jd_serving::ShardMap;
-use jd_serving::SourceState;
+use jd_serving::SourceHealth;
 use jd_serving::StoreRevision;
-use jd_serving::UsedShards;
-use jd_serving::news_source;
+use jd_serving::UpdateSource;
 use jd_serving::owners;
+use jd_serving::update_source;
 use jd_settings::GatewaySettings;
 use jd_types::MonoTime;
 use jd_types::spread;
@@ -75,7 +75,7 @@
     pub(crate) router: ArcSwapOption<Router>,
     pub(crate) upstreams: ArcSwap<UpstreamTable>,
     pub(crate) shards: ArcSwap<ShardMap>,
-    used_shards: Mutex<UsedShards>,
+    used_shards: Mutex<RecentShards>,
     pub(crate) metrics: Metrics,
     /// What is held against requests.
     pub(crate) quarantine: Quarantine,
@@ -104,7 +104,7 @@
     /// Set once it is known which instances the store lists.
     pub(crate) listed: Latch,
     knowledge: Mutex<Knowledge>,
-    budgets: Mutex<HashMap<CompactString, RepeatBudget>>,
+    budgets: Mutex<HashMap<CompactString, RetryBudget>>,
     leaving: AtomicBool,
     in_flight: AtomicUsize,
 }
@@ -180,7 +180,7 @@
         let now = self.now();
         let knowledge = self.knowledge();
         let own = knowledge.source_state(now, self.me.incarnation);
-        own == SourceState::StoreAway || knowledge.upstreams.is_store_away()
+        own == SourceHealth::StoreUnavailable || knowledge.upstreams.is_store_unavailable()
     }
 
     /// True while requests may be sent on the strength of what is known here.
@@ -222,23 +222,23 @@
     pub(crate) fn owner_order(&self, shard: &Shard) -> Vec<SocketAddr> {
         let now = self.now();
         let knowledge = self.knowledge();
-        let others = knowledge.instances.able(now);
+        let others = knowledge.instances.live_loaded(now);
         let own = (!self.is_leaving()).then_some(&self.me);
         let order = owners(shard, others.chain(own), MAX_OWNERS);
-        order.into_iter().map(|e| e.peers).collect()
+        order.into_iter().map(|e| e.peer_address).collect()
     }
 
     /// Stages of a shard are asked for or done here, so that its owners are watched from
     /// now on.
     pub(crate) fn use_shard(&self, shard: &Shard) {
-        if lock(&self.used_shards).note(self.now(), shard) {
+        if lock(&self.used_shards).record_use(self.now(), shard) {
             self.beat_soon.give();
         }
     }
 
     /// The shards whose owners are watched.
     pub(crate) fn watched_shards(&self) -> Vec<Shard> {
-        lock(&self.used_shards).watched(self.now(), &self.shards.load())
+        lock(&self.used_shards).monitored(self.now(), &self.shards.load())
     }
 
     /// The instances that coordinate the quarantine, the one that decides
@@ -254,20 +254,20 @@
     /// True if this instance is the one that is asked first.
     pub(crate) fn owns(&self, shard: &Shard) -> bool {
         let known = self.shards.load().has(shard);
-        known && self.owner_order(shard).first() == Some(&self.me.peers)
+        known && self.owner_order(shard).first() == Some(&self.me.peer_address)
     }
 
     /// From whom this instance hears what the store holds.
-    pub(crate) fn news_source(&self) -> NewsSource {
+    pub(crate) fn news_source(&self) -> UpdateSource {
         let now = self.now();
         let knowledge = self.knowledge();
         let state = |id| knowledge.source_state(now, id);
-        news_source(&self.me, knowledge.instances.live(now), state)
+        update_source(&self.me, knowledge.instances.live(now), state)
     }
 
     /// True once everything that the store holds has been read.
     pub(crate) fn has_read(&self) -> bool {
-        self.knowledge().mirror.revision() > StoreRevision::NOTHING
+        self.knowledge().mirror.revision() > StoreRevision::ZERO
     }
 
     /// Counts a request as in flight until the guard is dropped.
@@ -287,14 +287,17 @@
     /// address. By addresses, which outlive a start, and by all that are listed, so
     /// that an instance that has just heard of the others does not take itself for
     /// alone.
-    pub(crate) fn fleet_place(&self, upstream: SocketAddr) -> FleetPlace {
+    pub(crate) fn fleet_place(&self, upstream: SocketAddr) -> FleetPosition {
         let turn = |peers: SocketAddr| spread(spread_address(peers) ^ spread_address(upstream));
-        let own = turn(self.me.peers);
+        let own = turn(self.me.peer_address);
         let knowledge = self.knowledge();
-        let mut place = FleetPlace { rank: 0, of: 1 };
+        let mut place = FleetPosition {
+            rank: 0,
+            fleet_size: 1,
+        };
         for other in knowledge.instances.entries() {
-            place.of += 1;
-            place.rank += u32::from(turn(other.peers) < own);
+            place.fleet_size += 1;
+            place.rank += u32::from(turn(other.peer_address) < own);
         }
         place
     }
@@ -332,7 +335,7 @@
         budgets
             .entry(service.into())
             .or_default()
-            .first(now, &bound);
+            .record_first_attempt(now, &bound);
     }
 
     /// True if a request may go to a service once more.
@@ -342,7 +345,7 @@
         let now = self.now();
         let mut budgets = lock(&self.budgets);
         let budget = budgets.entry(service.into()).or_default();
-        let allowed = budget.repeat(now, &bound, instances);
+        let allowed = budget.try_retry(now, &bound, instances);
         self.metrics.repeat(allowed);
         allowed
     }
@@ -403,8 +406,8 @@
         self.shards.store(Arc::new(ShardMap::new(upstreams)));
     }
 
-    fn repeat_bound(&self) -> RepeatBound {
-        RepeatBound {
+    fn repeat_bound(&self) -> RetryLimit {
+        RetryLimit {
             ratio: self.settings.repeat_ratio,
             slack: self.settings.repeat_slack,
             window: self.settings.repeat_window,
--- a/crates/gateway/src/store_follower.rs
+++ b/crates/gateway/src/store_follower.rs
@@ -5,10 +5,10 @@
 
 use async_io::Timer;
 use futures_lite::FutureExt;
-use jd_serving::FirstSources;
-use jd_serving::News;
-use jd_serving::NewsSource;
-use jd_serving::SourceState;
+use jd_serving::BootstrapSources;
+use jd_serving::SourceHealth;
+use jd_serving::StoreUpdate;
+use jd_serving::UpdateSource;
 use jd_types::Incarnation;
 
 use crate::StoreError;
@@ -138,7 +138,7 @@
             Timer::after(START_SPREAD).await;
         }
         let sample = self.reader.read_sample(patience).await?;
-        match FirstSources::of_sample(state.me.incarnation, &sample) {
+        match BootstrapSources::from_sample(state.me.incarnation, &sample) {
             Some(sources) => self.hear_first(sources).await,
             None => self.read_small_fleet(patience).await,
         }
@@ -150,7 +150,7 @@
         let state = &self.link.state;
         self.reader.read_instances(patience).await?;
         let asked = state.now();
-        while let NewsSource::Relay(id) = state.news_source()
+        while let UpdateSource::Relay(id) = state.news_source()
             && state.now().since(asked) < RELAYS_WITHIN
         {
             self.follow_instance(id, FIRST_FOLLOW_WAIT).await;
@@ -163,23 +163,23 @@
 
     /// Hears everything from one of a large fleet; from the store if others ask this one
     /// for it, or if none of those that are asked has it.
-    async fn hear_first(&self, mut sources: FirstSources) -> Result<(), StoreError> {
+    async fn hear_first(&self, mut sources: BootstrapSources) -> Result<(), StoreError> {
         let state = &self.link.state;
         let asked = state.now();
-        let yields = sources.yields_for(state.me.strength);
+        let yields = sources.store_read_delay(state.me.strength);
         let wanted = async {
             state.all_wanted.given().await;
             Timer::after(yields).await;
             true
         };
         let heard = async {
-            while let Some(source) = sources.ask_next()
+            while let Some(source) = sources.next_source()
                 && state.now().since(asked) < SOURCES_WITHIN
             {
                 match self.peers.hear_first(source, FIRST_FOLLOW_WAIT).await {
                     Some(heard) if !heard.store_away => self.take_heard(heard),
                     // What it knows may be old, while the store answered here just now.
-                    Some(_) | None => sources.is_silent(source),
+                    Some(_) | None => sources.remove_unresponsive(source),
                 }
                 if state.has_read() {
                     return false;
@@ -262,7 +262,7 @@
     async fn round(&self, last: Round) -> Round {
         let state = &self.link.state;
         match state.news_source() {
-            NewsSource::Reader(id) | NewsSource::Relay(id)
+            UpdateSource::Reader(id) | UpdateSource::Relay(id)
                 if self.follow_instance(id, FOLLOW_WAIT).await =>
             {
                 Round::Kept
@@ -271,7 +271,7 @@
                 state.store_back.wait(AWAY_PAUSE).await;
                 Round::Lost
             }
-            NewsSource::Store => {
+            UpdateSource::Store => {
                 let others = async {
                     self.until_others_tell().await;
                     Round::Kept
@@ -279,7 +279,7 @@
                 self.watch(WATCH_WAIT).or(others).await
             }
             // It is passed over from now on, and the next one is asked.
-            NewsSource::Reader(id) | NewsSource::Relay(id) => {
+            UpdateSource::Reader(id) | UpdateSource::Relay(id) => {
                 log::info!(source:% = id; "no news from the instance followed");
                 Round::Kept
             }
@@ -299,8 +299,8 @@
             }
             Ok(changes) => {
                 self.link.succeeded();
-                self.intake.take(News {
-                    whole: false,
+                self.intake.take(StoreUpdate {
+                    is_full: false,
                     items: changes.items,
                     revision: changes.revision,
                 });
@@ -313,7 +313,7 @@
             }
             Err(e) => {
                 self.link.failed(StoreCall::Watch, e);
-                if state.news_source() == NewsSource::Store {
+                if state.news_source() == UpdateSource::Store {
                     state.store_back.wait(AWAY_PAUSE).await;
                 }
                 Round::Kept
@@ -332,7 +332,7 @@
         let Some(heard) = asking.or(gone).await else {
             let now = state.now();
             let mut knowledge = state.knowledge();
-            knowledge.note_source(now, id, SourceState::Silent);
+            knowledge.note_source(now, id, SourceHealth::Unresponsive);
             return false;
         };
         let silent = heard.news.iter().all(|n| n.items.is_empty());
@@ -346,7 +346,7 @@
             log::info!(source:% = id; "the instance followed brings no proof");
             let now = state.now();
             let mut knowledge = state.knowledge();
-            knowledge.note_source(now, id, SourceState::Silent);
+            knowledge.note_source(now, id, SourceHealth::Unresponsive);
         }
         if !silent {
             Timer::after(GATHER).await;
@@ -363,7 +363,7 @@
         let state = &self.link.state;
         let now = state.now();
         let mut knowledge = state.knowledge();
-        knowledge.note_source(now, id, SourceState::StoreAway);
+        knowledge.note_source(now, id, SourceHealth::StoreUnavailable);
         drop(knowledge);
         if state.news_source().instance() == Some(id) {
             self.link.away();
@@ -378,7 +378,7 @@
     /// instance's place, its own proof is not asked for any more, so that nothing shows
     /// what it lacks; it waited for its watch for half a minute.
     async fn until_others_tell(&self) {
-        while self.link.state.news_source() == NewsSource::Store {
+        while self.link.state.news_source() == UpdateSource::Store {
             Timer::after(NEWS_BEHIND).await;
         }
     }
@@ -389,7 +389,7 @@
         loop {
             Timer::after(NEWS_BEHIND).await;
             let now = state.now();
-            if !state.knowledge().instances.is_heard(now, id) {
+            if !state.knowledge().instances.is_present(now, id) {
                 return;
             }
         }
--- a/crates/gateway/src/store_intake.rs
+++ b/crates/gateway/src/store_intake.rs
@@ -7,12 +7,12 @@
 use jd_serving::Content;
 use jd_serving::Deployment;
 use jd_serving::InstanceEntry;
-use jd_serving::News;
-use jd_serving::NewsSource;
 use jd_serving::Reading;
 use jd_serving::Router;
 use jd_serving::StoreItem;
 use jd_serving::StoreRevision;
+use jd_serving::StoreUpdate;
+use jd_serving::UpdateSource;
 use jd_serving::UpstreamEntry;
 use jd_types::Incarnation;
 use jd_types::Name;
@@ -77,9 +77,9 @@
 impl StoreIntake {
     /// Takes news in; false if they are older than what is known, or of an era whose
     /// beginning is not known here.
-    pub(crate) fn take(&self, news: News) -> bool {
-        let News {
-            whole,
+    pub(crate) fn take(&self, news: StoreUpdate) -> bool {
+        let StoreUpdate {
+            is_full: whole,
             items,
             revision,
         } = news;
@@ -96,7 +96,7 @@
         let now = self.state.now();
         {
             let mut knowledge = self.state.knowledge();
-            knowledge.freshness.applied(revision);
+            knowledge.freshness.record_applied(revision);
             knowledge.listed_at.get_or_insert(now);
         }
         self.state.listed.set();
@@ -121,7 +121,9 @@
         let me = &self.state.me;
         let entries = self.decode(items).into_iter();
         let entries = entries.filter_map(|(change, _)| match change {
-            Change::Put(Record::Instance(entry)) if entry.peers != me.peers => Some(entry),
+            Change::Put(Record::Instance(entry)) if entry.peer_address != me.peer_address => {
+                Some(entry)
+            }
             _ => None,
         });
         entries.collect()
@@ -137,7 +139,7 @@
     }
 
     fn replace(&self, items: Vec<StoreItem>, revision: StoreRevision, known: StoreRevision) {
-        let is_first = known == StoreRevision::NOTHING;
+        let is_first = known == StoreRevision::ZERO;
         let reading = match is_first || revision.is_same_era(known) {
             true => Reading::Complete,
             false => Reading::Restored,
@@ -180,7 +182,7 @@
         }
         {
             let mut knowledge = self.state.knowledge();
-            knowledge.instances.relist(now, &instances, reading);
+            knowledge.instances.replace_listed(now, &instances, reading);
             changed |= knowledge.upstreams.replace(now, upstreams, reading);
             changed |= knowledge.evacuated.replace(now, evacuated, reading);
         }
@@ -212,7 +214,7 @@
                 }
                 Change::ZoneTakenBack(zone) => {
                     log::info!(zone:% = zone, revision:%; "zone taken back");
-                    changed |= self.state.knowledge().evacuated.take_back(now, &zone);
+                    changed |= self.state.knowledge().evacuated.end_evacuation(now, &zone);
                 }
                 Change::Put(record) => self.take_record(record, &item),
                 Change::UpstreamGone(id) => {
@@ -238,7 +240,7 @@
     /// What is logged of a batch of changes: each upstream where this instance reads the
     /// store, or where they are few.
     fn upstream_lines(&self, changes: usize) -> UpstreamLines {
-        let each = changes <= LINES_A_BATCH || self.state.news_source() == NewsSource::Store;
+        let each = changes <= LINES_A_BATCH || self.state.news_source() == UpdateSource::Store;
         UpstreamLines {
             each,
             written: 0,
@@ -255,7 +257,7 @@
             written:%;
             "entry names no upstream; its own writer has to write it again"
         );
-        self.state.knowledge().upstreams.leave_out(id)
+        self.state.knowledge().upstreams.discard(id)
     }
 
     /// The items with the configuration in force here in the place of an older one, and of
@@ -321,7 +323,7 @@
         match record {
             Record::Deployment(deployment) => self.take_newer_deployment(*deployment, item),
             Record::Instance(entry) if entry.incarnation == self.state.me.incarnation => {}
-            Record::Instance(entry) if entry.peers == self.state.me.peers => {
+            Record::Instance(entry) if entry.peer_address == self.state.me.peer_address => {
                 let mut knowledge = self.state.knowledge();
                 knowledge.earlier_starts.push(entry.incarnation);
             }
--- a/crates/gateway/src/store_lease.rs
+++ b/crates/gateway/src/store_lease.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use async_io::Timer;
-use jd_serving::SilentInstance;
+use jd_serving::UnresponsiveInstance;
 
 use crate::LeaseId;
 use crate::StoreError;
@@ -92,7 +92,7 @@
                 continue;
             }
             let now = state.now();
-            let silent: Vec<SilentInstance> = state.knowledge().instances.silent(now);
+            let silent: Vec<UnresponsiveInstance> = state.knowledge().instances.unresponsive(now);
             for one in silent {
                 if fastrand::u32(..100) < REMOVE_PERCENT {
                     self.remove(one).await;
@@ -101,8 +101,12 @@
         }
     }
 
-    async fn remove(&self, silent: SilentInstance) {
-        let SilentInstance { id, written, since } = silent;
+    async fn remove(&self, silent: UnresponsiveInstance) {
+        let UnresponsiveInstance {
+            id,
+            written,
+            silent_for: since,
+        } = silent;
         let removing = self.link.store.remove(id, written);
         let ended = self.link.call(StoreCall::Remove, CALL_WITHIN, removing);
         let outcome = ended.await.map_or_else(StoreError::as_str, |()| "done");
@@ -110,7 +114,7 @@
         log::info!(instance:% = id, silent_ms, outcome; "silent instance removed");
         let now = self.link.state.now();
         let mut knowledge = self.link.state.knowledge();
-        knowledge.instances.removal_tried(now, id);
+        knowledge.instances.record_removal_attempt(now, id);
     }
 
     /// Takes or renews the lease, and writes the entry if it is not there.
--- a/crates/gateway/src/store_link.rs
+++ b/crates/gateway/src/store_link.rs
@@ -5,8 +5,8 @@
 
 use async_io::Timer;
 use jd_net::within;
-use jd_serving::NewsSource;
-use jd_serving::SourceState;
+use jd_serving::SourceHealth;
+use jd_serving::UpdateSource;
 
 use crate::Store;
 use crate::StoreError;
@@ -78,7 +78,7 @@
         let now = self.state.now();
         let me = self.state.me.incarnation;
         let mut knowledge = self.state.knowledge();
-        knowledge.note_source(now, me, SourceState::Able);
+        knowledge.note_source(now, me, SourceHealth::Available);
         drop(knowledge);
         self.back();
     }
@@ -86,7 +86,7 @@
     /// The store answers, this instance or the one that it follows.
     pub(crate) fn back(&self) {
         let now = self.state.now();
-        let back = self.state.knowledge().upstreams.store_back(now);
+        let back = self.state.knowledge().upstreams.mark_store_available(now);
         if back {
             self.state.store_back.give();
             self.state.news.notify(usize::MAX);
@@ -100,10 +100,10 @@
         let now = self.state.now();
         let me = self.state.me.incarnation;
         let mut knowledge = self.state.knowledge();
-        knowledge.note_source(now, me, SourceState::StoreAway);
+        knowledge.note_source(now, me, SourceHealth::StoreUnavailable);
         drop(knowledge);
         // The store may turn just this instance away while another hears it.
-        if self.state.news_source() == NewsSource::Store {
+        if self.state.news_source() == UpdateSource::Store {
             self.away();
         }
     }
@@ -111,10 +111,10 @@
     /// Nobody from whom this instance could hear has the store.
     pub(crate) fn away(&self) {
         let mut knowledge = self.state.knowledge();
-        if knowledge.upstreams.is_store_away() {
+        if knowledge.upstreams.is_store_unavailable() {
             return;
         }
-        knowledge.upstreams.store_away();
+        knowledge.upstreams.mark_store_unavailable();
         drop(knowledge);
         log::warn!("store away; what is known stays in use");
         self.state.proof_wanted.give();
--- a/crates/gateway/src/store_proof.rs
+++ b/crates/gateway/src/store_proof.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use async_io::Timer;
-use jd_serving::NewsSource;
+use jd_serving::UpdateSource;
 
 use crate::StoreError;
 use crate::store_call::StoreCall;
@@ -38,7 +38,7 @@
                     Timer::after(retry_pause(failures)).await;
                 }
             }
-            let follows = state.news_source() != NewsSource::Store;
+            let follows = state.news_source() != UpdateSource::Store;
             // Proof of nothing is worth nothing: of a fleet that starts at once all
             // would ask several times a second beside reading.
             if follows || !state.has_read() {
@@ -56,7 +56,10 @@
                 Ok(revision) => {
                     failures = 0;
                     self.link.succeeded();
-                    state.knowledge().freshness.confirmed(asked, revision);
+                    state
+                        .knowledge()
+                        .freshness
+                        .record_confirmation(asked, revision);
                     state.news.notify(usize::MAX);
                 }
                 Err(e) => {
--- a/crates/gateway/src/store_reader.rs
+++ b/crates/gateway/src/store_reader.rs
@@ -5,9 +5,9 @@
 
 use async_io::Timer;
 use jd_serving::InstanceEntry;
-use jd_serving::News;
 use jd_serving::StoreItem;
 use jd_serving::StoreRevision;
+use jd_serving::StoreUpdate;
 
 use crate::Listed;
 use crate::Page;
@@ -37,15 +37,18 @@
         let state = &self.link.state;
         let asked = state.now();
         let (items, revision) = self.read(Listed::All, patience).await?;
-        let taken = self.intake.take(News {
-            whole: true,
+        let taken = self.intake.take(StoreUpdate {
+            is_full: true,
             items,
             revision,
         });
         if !taken {
             return Err(StoreError::OtherEra);
         }
-        state.knowledge().freshness.confirmed(asked, revision);
+        state
+            .knowledge()
+            .freshness
+            .record_confirmation(asked, revision);
         Ok(())
     }
 
--- a/crates/gateway/src/stream_call.rs
+++ b/crates/gateway/src/stream_call.rs
@@ -8,7 +8,7 @@
 use http::Response;
 use jd_net::Body;
 use jd_net::within;
-use jd_serving::Repeat;
+use jd_serving::RetryMode;
 use jd_types::AttemptOutcome;
 use jd_types::Refusal;
 use jd_types::RefusalKind;
@@ -79,9 +79,9 @@
             results = again.map_err(|refusal| after_runs(runs, refusal))?;
             continue;
         }
-        let allowed = match call.route().repeat {
+        let allowed = match call.route().retry_mode {
             _ if proved => offers.tried.len() < MAX_OFFERS,
-            Repeat::Resumable => runs < call.route().max_attempts,
+            RetryMode::Resumable => runs < call.route().max_attempts,
             _ => false,
         };
         if !allowed || !state.may_repeat(&call.service) {
@@ -157,7 +157,8 @@
 
 fn patience(call: &Call, state: &State, runs: u32) -> Duration {
     let left = call.left(state.now());
-    let repeats = call.route().repeat == Repeat::Resumable && runs + 1 < call.route().max_attempts;
+    let repeats =
+        call.route().retry_mode == RetryMode::Resumable && runs + 1 < call.route().max_attempts;
     match repeats {
         true => left.min(BEGIN_WITHIN),
         false => left,
--- a/crates/gateway/src/upstream_table.rs
+++ b/crates/gateway/src/upstream_table.rs
@@ -109,7 +109,7 @@
         // Asked for while nothing is locked: a new table is made with the list of
         // instances locked, and then locks what is known of each upstream.
         let place = self.state.fleet_place(known.upstream.address);
-        lock(&known.cold).bears(now, spec, place)
+        lock(&known.cold).may_send(now, spec, place)
     }
 }
 
@@ -138,7 +138,7 @@
     fn new(entry: &UpstreamEntry, since: MonoTime) -> Known {
         let mut cold = ColdStart::default();
         if since != MonoTime::ZERO {
-            cold.may_have_started(since);
+            cold.record_possible_start(since);
         }
         Known {
             start: entry.start,
@@ -190,9 +190,9 @@
             let mut known = kept.unwrap_or_else(|| Known::new(entry, since));
             {
                 let mut cold = lock(&known.cold);
-                cold.told(listed.cold_until);
-                if let Some(at) = evacuated.taken_back_at(&entry.zone) {
-                    cold.may_have_started(at);
+                cold.set_cold_until(listed.cold_until);
+                if let Some(at) = evacuated.evacuation_ended_at(&entry.zone) {
+                    cold.record_possible_start(at);
                 }
             }
             known.evacuated = evacuated.is_evacuated(&entry.zone);
--- a/crates/gateway/tests/whole/fakes/deployments.rs
+++ b/crates/gateway/tests/whole/fakes/deployments.rs
@@ -8,7 +8,7 @@
 use jd_serving::ColdSpec;
 use jd_serving::CustomerSpec;
 use jd_serving::Deployment;
-use jd_serving::Repeat;
+use jd_serving::RetryMode;
 use jd_serving::Route;
 use jd_serving::Service;
 use jd_serving::StageSpec;
@@ -22,18 +22,18 @@
     slots: 1,
     queue: 2,
     pieces: 4,
-    call: Duration::from_millis(1),
-    piece: Duration::from_millis(1),
+    base_time: Duration::from_millis(1),
+    piece_time: Duration::from_millis(1),
     room_bytes: 1_000,
-    keep: Duration::from_secs(4),
+    result_ttl: Duration::from_secs(4),
 };
 
-fn route(name: &str, repeat: Repeat) -> Route {
+fn route(name: &str, repeat: RetryMode) -> Route {
     Route {
         name: name.into(),
         host: "desk.example".into(),
         prefix: format!("/{name}/").into(),
-        repeat,
+        retry_mode: repeat,
         timeout: Duration::from_secs(20),
         objective: Duration::from_secs(1),
         priority: 1,
@@ -66,13 +66,13 @@
     Deployment {
         version: 1,
         routes: vec![
-            route("any", Repeat::Idempotent),
-            route("once", Repeat::Once),
-            route("resume", Repeat::Resumable),
-            route("stream", Repeat::StreamOnce),
+            route("any", RetryMode::Idempotent),
+            route("once", RetryMode::Once),
+            route("resume", RetryMode::Resumable),
+            route("stream", RetryMode::StreamOnce),
             Route {
                 public: true,
-                ..route("open", Repeat::StreamOnce)
+                ..route("open", RetryMode::StreamOnce)
             },
         ],
         customers: vec![CustomerSpec {
@@ -92,7 +92,7 @@
         max_connections: 8,
         batch: None,
         cold: Some(ColdSpec {
-            lasts: Duration::from_secs(60),
+            duration: Duration::from_secs(60),
             per_s,
         }),
         generation: None,
@@ -103,7 +103,7 @@
 /// The same with a stage before `/staged/`.
 pub(crate) fn staged_deployment() -> Deployment {
     let mut staged = deployment();
-    let mut route = route("staged", Repeat::Resumable);
+    let mut route = route("staged", RetryMode::Resumable);
     route.stages = vec![StageSpec {
         service: "stages".into(),
         after: Vec::new(),
--- a/crates/gateway/tests/whole/fakes/ending_upstreams.rs
+++ b/crates/gateway/tests/whole/fakes/ending_upstreams.rs
@@ -157,7 +157,7 @@
         let server = HttpServer::start(executor, any, ServerLimits::default(), handler);
         let server = server.expect("a free port");
         let address = server.address();
-        let record = entry(&id, "pool", address, UpstreamStart::UNTOLD);
+        let record = entry(&id, "pool", address, UpstreamStart::UNKNOWN);
         self.places()[place] = Place {
             id,
             server: Some(server),
--- a/crates/gateway/tests/whole/fakes/harness.rs
+++ b/crates/gateway/tests/whole/fakes/harness.rs
@@ -103,7 +103,12 @@
         for (n, (service, replies)) in pool.chain(stages).enumerate() {
             let (upstream, server) = FakeUpstream::start(&executor, replies);
             let id = format!("i-{n}");
-            records.push(entry(&id, service, server.address(), UpstreamStart::UNTOLD));
+            records.push(entry(
+                &id,
+                service,
+                server.address(),
+                UpstreamStart::UNKNOWN,
+            ));
             upstreams.push(upstream);
             servers.push(server);
         }
@@ -155,7 +160,7 @@
             &format!("i-{upstream}"),
             "pool",
             address,
-            UpstreamStart::UNTOLD,
+            UpstreamStart::UNKNOWN,
         );
         if let Record::Upstream(entry) = &mut record {
             change(entry);
--- a/crates/lab/src/stages/kind.rs
+++ b/crates/lab/src/stages/kind.rs
@@ -119,9 +119,9 @@
         slots: 1,
         queue: 2,
         pieces,
-        call: Duration::from_millis(240),
-        piece: Duration::from_micros(piece_us),
+        base_time: Duration::from_millis(240),
+        piece_time: Duration::from_micros(piece_us),
         room_bytes: room_kb * 1_000,
-        keep: Duration::from_secs(4),
+        result_ttl: Duration::from_secs(4),
     }
 }
--- a/crates/lab/src/stages/world.rs
+++ b/crates/lab/src/stages/world.rs
@@ -137,7 +137,7 @@
         let zone = Name::try_from("a").ok()?;
         Some(StageUpstream {
             id: format_compact!("{service}-{n}"),
-            start: UpstreamStart::UNTOLD,
+            start: UpstreamStart::UNKNOWN,
             address: SocketAddr::from(([127, 0, 0, n], 80)),
             zone,
         })
@@ -237,7 +237,7 @@
             let light = call.pieces.iter().filter(|p| self.is_light(p)).count();
             let heavy = call.pieces.len() - light;
             let work = heavy as f64 + light as f64 * LIGHT_WORK;
-            let takes = spec.call + spec.piece.mul_f64(work);
+            let takes = spec.base_time + spec.piece_time.mul_f64(work);
             self.report.call(call.pieces.len(), takes);
             self.at(self.now + takes, Event::Finish(call.key));
             self.calls.insert(call.key, call);
--- a/crates/serving/src/backoffs.rs
+++ b/crates/serving/src/backoffs.rs
@@ -7,7 +7,7 @@
 use compact_str::CompactString;
 use jd_types::MonoTime;
 
-use crate::FleetPlace;
+use crate::FleetPosition;
 use crate::RetryAfter;
 use crate::UpstreamStart;
 
@@ -43,14 +43,14 @@
     ///
     /// The load that it answers: an upstream in need tells all instances of a fleet to wait
     /// equally long, and would get all that they held back in one moment.
-    pub fn take(
+    pub fn record(
         &mut self,
         now: MonoTime,
         address: SocketAddr,
         id: &str,
         start: UpstreamStart,
         wait: RetryAfter,
-        place: FleetPlace,
+        place: FleetPosition,
     ) -> bool {
         if self.by_address.len() >= MANY {
             self.by_address.retain(|_, b| now < b.until);
@@ -72,7 +72,7 @@
 
     /// How much longer this start of an upstream wants nothing; none if it takes
     /// requests. An empty `id` stands for whichever upstream is at the address.
-    pub fn left(
+    pub fn remaining(
         &self,
         now: MonoTime,
         address: SocketAddr,
--- a/crates/serving/src/first_sources.rs
+++ b/crates/serving/src/bootstrap_sources.rs
@@ -28,15 +28,15 @@
 /// these read the store because they are asked. So a few dozen do, whatever the size of
 /// the fleet, and each tells one sample's share of the others.
 #[derive(Debug)]
-pub struct FirstSources {
+pub struct BootstrapSources {
     left: Vec<SocketAddr>,
     turn: usize,
     strongest: Strength,
 }
 
-impl FirstSources {
+impl BootstrapSources {
     /// The sources in a sample, for the instance `me`; none if it is of a small fleet.
-    pub fn of_sample(me: Incarnation, sample: &[InstanceEntry]) -> Option<FirstSources> {
+    pub fn from_sample(me: Incarnation, sample: &[InstanceEntry]) -> Option<BootstrapSources> {
         if sample.len() < LARGE_SAMPLE {
             return None;
         }
@@ -48,11 +48,11 @@
         // One that has started again may be in it twice.
         let mut left: Vec<SocketAddr> = Vec::with_capacity(MOST);
         for entry in owners(&everywhere, sample.iter(), 2 * MOST) {
-            if left.len() < MOST && !left.contains(&entry.peers) {
-                left.push(entry.peers);
+            if left.len() < MOST && !left.contains(&entry.peer_address) {
+                left.push(entry.peer_address);
             }
         }
-        Some(FirstSources {
+        Some(BootstrapSources {
             left,
             strongest: sample.iter().map(|e| e.strength).max()?,
             turn: me.get() as usize,
@@ -60,7 +60,7 @@
     }
 
     /// Whom to ask next; none if all were silent.
-    pub fn ask_next(&mut self) -> Option<SocketAddr> {
+    pub fn next_source(&mut self) -> Option<SocketAddr> {
         let asked = self.left.len().min(ASKED);
         let n = self.turn.checked_rem(asked)?;
         self.turn = self.turn.wrapping_add(1);
@@ -72,7 +72,7 @@
     ///
     /// Samples that are read while a fleet starts differ, and by many of them a weak
     /// instance is among the first. The strong ones have it all by then.
-    pub fn yields_for(&self, strength: Strength) -> Duration {
+    pub fn store_read_delay(&self, strength: Strength) -> Duration {
         match strength >= self.strongest {
             true => Duration::ZERO,
             false => WEAK_YIELD,
@@ -80,7 +80,7 @@
     }
 
     /// This one did not answer.
-    pub fn is_silent(&mut self, source: SocketAddr) {
+    pub fn remove_unresponsive(&mut self, source: SocketAddr) {
         self.left.retain(|s| *s != source);
     }
 }
--- a/crates/serving/src/cold_start.rs
+++ b/crates/serving/src/cold_start.rs
@@ -9,7 +9,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdSpec {
     /// How long an upstream is cold after its start.
-    pub lasts: Duration,
+    pub duration: Duration,
     /// Requests a second that it bears meanwhile, from all instances together.
     pub per_s: f64,
 }
@@ -17,26 +17,26 @@
 /// Where an instance stands among all of them for one upstream: each instance has
 /// another rank, and for each upstream it is another one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct FleetPlace {
+pub struct FleetPosition {
     /// From 0 on.
     pub rank: u32,
     /// How many instances there are.
-    pub of: u32,
+    pub fleet_size: u32,
 }
 
-impl FleetPlace {
+impl FleetPosition {
     /// The part of the instances that stand before this one, from 0 on and below 1.
     pub(crate) fn part(self) -> f64 {
-        f64::from(self.rank.min(self.of)) / f64::from(self.of.max(1))
+        f64::from(self.rank.min(self.fleet_size)) / f64::from(self.fleet_size.max(1))
     }
 }
 
 impl ColdSpec {
     /// Requests a second that one instance may send to a cold upstream. The parts of
     /// all instances together are what it bears; in a large fleet most have none.
-    pub fn share(self, place: FleetPlace) -> usize {
+    pub fn share(self, place: FleetPosition) -> usize {
         let whole = self.per_s.max(0.0) as u32;
-        let of = place.of.max(1);
+        let of = place.fleet_size.max(1);
         let left_over = u32::from(place.rank < whole % of);
         (whole / of + left_over) as usize
     }
@@ -62,23 +62,23 @@
 
 impl ColdStart {
     /// Its entry says that it is cold until then.
-    pub fn told(&mut self, until: MonoTime) {
+    pub fn set_cold_until(&mut self, until: MonoTime) {
         self.cold_until = self.cold_until.max(until);
     }
 
     /// It may have started as late as at that moment, and nobody told.
-    pub fn may_have_started(&mut self, at: MonoTime) {
+    pub fn record_possible_start(&mut self, at: MonoTime) {
         self.away_until = self.away_until.max(Some(at));
     }
 
     /// True if it is cold or may be.
     pub fn is_cold(&self, now: MonoTime, spec: ColdSpec) -> bool {
-        let doubted = |at: MonoTime| now < at + spec.lasts;
+        let doubted = |at: MonoTime| now < at + spec.duration;
         now < self.cold_until || self.away_until.is_some_and(doubted)
     }
 
     /// True if this instance, which stands at `place`, may send it a request now.
-    pub fn bears(&self, now: MonoTime, spec: ColdSpec, place: FleetPlace) -> bool {
+    pub fn may_send(&self, now: MonoTime, spec: ColdSpec, place: FleetPosition) -> bool {
         if !self.is_cold(now, spec) {
             return true;
         }
@@ -88,7 +88,7 @@
     }
 
     /// A request goes there.
-    pub fn sent(&mut self, now: MonoTime, spec: ColdSpec) {
+    pub fn record_sent(&mut self, now: MonoTime, spec: ColdSpec) {
         self.sent.retain(|at| now.since(*at) < SHARE_WINDOW);
         if self.is_cold(now, spec) {
             self.sent.push_back(now);
--- a/crates/serving/src/crash_evidence.rs
+++ b/crates/serving/src/crash_evidence.rs
@@ -11,7 +11,7 @@
 
 use crate::CompletedRun;
 use crate::Content;
-use crate::HELD_FOR;
+use crate::QUARANTINE_TTL;
 use crate::UpstreamStart;
 
 /// Ends, one after the other, with a request aboard that make it suspect.
@@ -32,7 +32,7 @@
 const REMOVED_WITHIN: Duration = Duration::from_secs(8);
 /// How long ends are kept: a request that comes back after its quarantine has lapsed is
 /// quarantined after one more.
-const KEPT_FOR: Duration = HELD_FOR.saturating_mul(3);
+const KEPT_FOR: Duration = QUARANTINE_TTL.saturating_mul(3);
 /// The most ends that are kept.
 const MOST_ENDS: usize = 256;
 /// The most runs of one end that are kept: the largest upstreams work on 64 at a time.
@@ -49,7 +49,7 @@
 
 /// The end of an upstream, as one instance saw it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct UpstreamEnd {
+pub struct UpstreamCrash {
     /// What it worked for.
     pub service: CompactString,
     /// Its identity.
@@ -79,11 +79,11 @@
     /// The request.
     pub content: Content,
     /// Upstreams that ended with it, one after the other.
-    pub ends: usize,
+    pub crashes: usize,
     /// The longest time from its sending to such an end.
-    pub longest: Duration,
+    pub longest_run: Duration,
     /// When the last of them was.
-    pub last: MonoTime,
+    pub last_crash: MonoTime,
 }
 
 /// The ends of upstreams, and the requests that were there.
@@ -113,7 +113,7 @@
 
 #[derive(Debug)]
 struct KnownEnd {
-    end: UpstreamEnd,
+    end: UpstreamCrash,
     heard: MonoTime,
     is_confirmed: bool,
 }
@@ -139,16 +139,16 @@
     fn finding(&self, content: Content) -> Finding {
         Finding {
             content,
-            ends: self.ends,
-            longest: self.longest,
-            last: self.last.unwrap_or(MonoTime::ZERO),
+            crashes: self.ends,
+            longest_run: self.longest,
+            last_crash: self.last.unwrap_or(MonoTime::ZERO),
         }
     }
 }
 
 impl CrashEvidence {
     /// An instance saw the end of an upstream.
-    pub fn ended(&mut self, now: MonoTime, end: UpstreamEnd) {
+    pub fn record_crash(&mut self, now: MonoTime, end: UpstreamCrash) {
         let same = |k: &&mut KnownEnd| {
             k.end.upstream == end.upstream
                 && k.end.start == end.start
@@ -175,7 +175,7 @@
     /// A run ended well, as somebody remembers. It speaks for its request against the ends
     /// before, and not against those that came after: what a request does to upstreams can
     /// change from one moment to the next. True if nothing speaks against it any more.
-    pub fn completed(&mut self, run: &CompletedRun) -> bool {
+    pub fn record_completed_run(&mut self, run: &CompletedRun) -> bool {
         let is_there = |k: &KnownEnd| {
             let mut runs = k.end.runs.iter();
             k.end.service == run.service && runs.any(|r| r.content == run.content)
@@ -190,7 +190,11 @@
     }
 
     /// Leaves out ends of upstreams that are still listed when they should not be.
-    pub fn check(&mut self, now: MonoTime, is_listed: impl Fn(&str, UpstreamStart) -> bool) {
+    pub fn discard_listed(
+        &mut self,
+        now: MonoTime,
+        is_listed: impl Fn(&str, UpstreamStart) -> bool,
+    ) {
         let due = |k: &KnownEnd| !k.is_confirmed && now.since(k.end.at) > REMOVED_WITHIN;
         self.ends.retain_mut(|k| {
             if !due(k) {
@@ -239,7 +243,7 @@
     fn explain_ends_of(&mut self, now: MonoTime, service: &str, findings: &mut Findings) {
         let ends = self.ends.iter().filter(|k| k.end.service == service);
         let heard = ends.filter(|k| now.since(k.heard) > REPORTS_WITHIN);
-        let mut left: Vec<&UpstreamEnd> = heard.map(|k| &k.end).collect();
+        let mut left: Vec<&UpstreamCrash> = heard.map(|k| &k.end).collect();
         loop {
             let cases = cases(&left);
             let likeliest = cases.iter().max_by_key(|(content, case)| {
@@ -279,14 +283,14 @@
 }
 
 /// True if a request was at every one of these ends at which another was.
-fn is_always_with(ends: &[&UpstreamEnd], one: Content, other: Content) -> bool {
-    let was_at = |end: &UpstreamEnd, who| end.runs.iter().any(|r| r.content == who);
+fn is_always_with(ends: &[&UpstreamCrash], one: Content, other: Content) -> bool {
+    let was_at = |end: &UpstreamCrash, who| end.runs.iter().any(|r| r.content == who);
     let mut of_other = ends.iter().filter(|end| was_at(end, other));
     of_other.all(|end| was_at(end, one))
 }
 
 /// What speaks against each request that was at these ends, which are in order of time.
-fn cases(ends: &[&UpstreamEnd]) -> HashMap<Content, Case> {
+fn cases(ends: &[&UpstreamCrash]) -> HashMap<Content, Case> {
     let mut cases: HashMap<Content, Case> = HashMap::new();
     for end in ends {
         let mut runs: Vec<&BrokenRun> = end.runs.iter().collect();
--- a/crates/serving/src/departures.rs
+++ b/crates/serving/src/departures.rs
@@ -16,7 +16,7 @@
 
 /// Who told that an upstream leaves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum ToldBy {
+pub(crate) enum DepartureSource {
     /// Its entry in the store, by what it said or by its removal. An entry that is written
     /// later may say otherwise: it was cut off from the store for a while.
     Entry,
@@ -27,7 +27,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Departure {
     start: UpstreamStart,
-    told_by: ToldBy,
+    told_by: DepartureSource,
     /// When it was told, or last of use.
     noted: MonoTime,
 }
@@ -40,7 +40,13 @@
 
 impl Departures {
     /// A start of an upstream leaves.
-    pub(crate) fn note(&mut self, now: MonoTime, id: &str, start: UpstreamStart, told_by: ToldBy) {
+    pub(crate) fn note(
+        &mut self,
+        now: MonoTime,
+        id: &str,
+        start: UpstreamStart,
+        told_by: DepartureSource,
+    ) {
         if self.by_id.len() >= MOST && !self.by_id.contains_key(id) {
             return;
         }
@@ -57,7 +63,7 @@
     /// An entry that was written just now says that the upstream is ready.
     pub(crate) fn entry_says_ready(&mut self, id: &str) {
         let told = self.by_id.get(id);
-        if told.is_some_and(|told| told.told_by == ToldBy::Entry) {
+        if told.is_some_and(|told| told.told_by == DepartureSource::Entry) {
             self.by_id.remove(id);
         }
     }
--- a/crates/serving/src/deployment.rs
+++ b/crates/serving/src/deployment.rs
@@ -41,9 +41,9 @@
     /// Bytes of a request's body.
     pub body_bytes: usize,
     /// How long a head may take to arrive.
-    pub head_within: Duration,
+    pub head_timeout: Duration,
     /// How long a connection may lie idle.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 impl Default for CallerLimits {
@@ -52,8 +52,8 @@
         CallerLimits {
             head_bytes: 16 << 10,
             body_bytes: 4 << 20,
-            head_within: Duration::from_secs(3),
-            idle: Duration::from_secs(15),
+            head_timeout: Duration::from_secs(3),
+            idle_timeout: Duration::from_secs(15),
         }
     }
 }
--- a/crates/serving/src/desk_rooms.rs
+++ b/crates/serving/src/desk_rooms.rs
@@ -11,7 +11,7 @@
     pub fn room_questions(&mut self, now: MonoTime) -> Vec<RoomQuestion> {
         let mut questions = Vec::new();
         for (service, queue) in &mut self.queues {
-            let keep = queue.spec.keep;
+            let keep = queue.spec.result_ttl;
             let asked = queue.upstreams.iter_mut();
             let asked = asked.filter_map(|u| u.others.asks(now, keep).then_some(u));
             questions.extend(asked.map(|u| RoomQuestion {
--- a/crates/serving/src/evacuated_zones.rs
+++ b/crates/serving/src/evacuated_zones.rs
@@ -36,7 +36,7 @@
     }
 
     /// A zone is taken back; true if that is news.
-    pub fn take_back(&mut self, now: MonoTime, zone: &Name) -> bool {
+    pub fn end_evacuation(&mut self, now: MonoTime, zone: &Name) -> bool {
         self.lost.remove(zone);
         let news = self.zones.remove(zone);
         if news {
@@ -58,7 +58,7 @@
                     self.lost.insert(zone, now + WRITTEN_AGAIN_WITHIN);
                 }
                 Reading::Complete if self.lost.contains_key(&zone) => {}
-                Reading::Complete => changed |= self.take_back(now, &zone),
+                Reading::Complete => changed |= self.end_evacuation(now, &zone),
             }
         }
         for zone in zones {
@@ -72,7 +72,7 @@
         let over = self.lost.iter().filter(|(_, until)| **until <= now);
         let over: Vec<Name> = over.map(|(zone, _)| zone.clone()).collect();
         for zone in &over {
-            self.take_back(now, zone);
+            self.end_evacuation(now, zone);
         }
         !over.is_empty()
     }
@@ -84,7 +84,7 @@
 
     /// When the zone was last taken back; none if it never was. Its upstreams may
     /// have started shortly before.
-    pub fn taken_back_at(&self, zone: &Name) -> Option<MonoTime> {
+    pub fn evacuation_ended_at(&self, zone: &Name) -> Option<MonoTime> {
         self.taken_back.get(zone).copied()
     }
 }
--- a/crates/serving/src/event_splitter.rs
+++ b/crates/serving/src/event_splitter.rs
@@ -35,7 +35,7 @@
     }
 
     /// Bytes of an event that is not whole.
-    pub fn rest(&mut self) -> Bytes {
+    pub fn take_remaining(&mut self) -> Bytes {
         self.rest.split().freeze()
     }
 }
--- a/crates/serving/src/freshness.rs
+++ b/crates/serving/src/freshness.rs
@@ -24,14 +24,14 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Proof {
     /// When it was asked, at the earliest.
-    pub asked: MonoTime,
+    pub asked_at: MonoTime,
     /// The revision that it had then.
     pub revision: StoreRevision,
 }
 
 impl Freshness {
     /// Everything up to `revision` has been taken in.
-    pub fn applied(&mut self, revision: StoreRevision) {
+    pub fn record_applied(&mut self, revision: StoreRevision) {
         self.applied = self.applied.max(revision);
         match self.unmet {
             Some(p) if p.revision > self.applied => {}
@@ -45,8 +45,11 @@
 
     /// The store said that it was at `revision` when asked at `asked`. True if
     /// something is missing here, which a watch should have brought.
-    pub fn confirmed(&mut self, asked: MonoTime, revision: StoreRevision) -> bool {
-        let proof = Proof { asked, revision };
+    pub fn record_confirmation(&mut self, asked: MonoTime, revision: StoreRevision) -> bool {
+        let proof = Proof {
+            asked_at: asked,
+            revision,
+        };
         match revision {
             r if r > self.applied => {
                 self.unmet = Some(proof);
@@ -84,7 +87,7 @@
 
     /// How old the newest proof is; none if there has been none.
     pub fn age(&self, now: MonoTime) -> Option<Duration> {
-        self.proven.map(|p| now.since(p.asked))
+        self.proven.map(|p| now.since(p.asked_at))
     }
 
     /// True while the store is known to hold something that is missing here.
@@ -98,7 +101,7 @@
     }
 
     fn prove(&mut self, proof: Proof) {
-        if self.proven.is_none_or(|p| p.asked < proof.asked) {
+        if self.proven.is_none_or(|p| p.asked_at < proof.asked_at) {
             self.proven = Some(proof);
         }
     }
--- a/crates/serving/src/watch_list.rs
+++ b/crates/serving/src/heartbeat_peers.rs
@@ -29,14 +29,14 @@
 /// Where each watched the owners of all shards, heartbeats took more of the processor
 /// than requests, and the owners answered each instance of the fleet.
 #[derive(Debug, Default)]
-pub struct UsedShards {
+pub struct RecentShards {
     used: HashMap<Shard, MonoTime>,
 }
 
-impl UsedShards {
+impl RecentShards {
     /// A request's stages are asked for at a shard, or done here; true if that was not
     /// so lately.
-    pub fn note(&mut self, now: MonoTime, shard: &Shard) -> bool {
+    pub fn record_use(&mut self, now: MonoTime, shard: &Shard) -> bool {
         match self.used.get_mut(shard) {
             Some(at) => now.since(std::mem::replace(at, now)) >= USED_FOR,
             None => self.used.insert(shard.clone(), now).is_none(),
@@ -45,7 +45,7 @@
 
     /// The shards whose owners are watched: all if they are few, else those that were
     /// used last.
-    pub fn watched(&mut self, now: MonoTime, all: &ShardMap) -> Vec<Shard> {
+    pub fn monitored(&mut self, now: MonoTime, all: &ShardMap) -> Vec<Shard> {
         if all.count() <= MOST_SHARDS {
             return all.shards().cloned().collect();
         }
@@ -66,7 +66,7 @@
 /// one the owners of `shards`, the `source` from which it hears of the store, and the few
 /// that follow it in the order of their numbers, so that everybody is watched by somebody.
 /// How many these are grows neither with the fleet nor with its shards.
-pub fn watched<'a>(
+pub fn heartbeat_peers<'a>(
     me: &'a InstanceEntry,
     others: &'a [InstanceEntry],
     shards: &[Shard],
--- a/crates/serving/src/instance_directory.rs
+++ b/crates/serving/src/instance_directory.rs
@@ -39,9 +39,9 @@
     /// The identity of this start of it.
     pub incarnation: Incarnation,
     /// Where callers reach it.
-    pub callers: SocketAddr,
+    pub caller_address: SocketAddr,
     /// Where other instances reach it.
-    pub peers: SocketAddr,
+    pub peer_address: SocketAddr,
     /// The availability zone that it stands in.
     pub zone: Name,
     /// What it can carry beside its own callers.
@@ -58,18 +58,18 @@
     /// True if callers should come to it.
     pub ready: bool,
     /// True once it has read what is in force.
-    pub has_read: bool,
+    pub store_loaded: bool,
 }
 
 /// A listed instance that does not answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct SilentInstance {
+pub struct UnresponsiveInstance {
     /// Which start of it.
     pub id: Incarnation,
     /// The store's revision when its entry was written.
     pub written: StoreRevision,
     /// For how long it has been silent.
-    pub since: Duration,
+    pub silent_for: Duration,
 }
 
 /// Which instances there are: those that the store lists, less those that say
@@ -124,7 +124,7 @@
     /// displaced by what a copy of the store has of an earlier start.
     pub fn put(&mut self, now: MonoTime, entry: InstanceEntry, written: StoreRevision) {
         self.visits.add(1);
-        let other = self.by_peers.get(&entry.peers).copied();
+        let other = self.by_peers.get(&entry.peer_address).copied();
         let other = other.filter(|id| *id != entry.incarnation);
         let answers = |k: &Known| k.ever_heard && now.since(k.heard) < SILENT_AFTER;
         // One that was heard in place of a dead start has that start's revision.
@@ -154,7 +154,8 @@
         known.lost_at = None;
         known.written = known.written.max(written);
         known.entry.leaving |= entry.leaving;
-        self.by_peers.insert(known.entry.peers, entry.incarnation);
+        self.by_peers
+            .insert(known.entry.peer_address, entry.incarnation);
     }
 
     /// The store lists these and no others. Without this, an instance whose entry
@@ -163,7 +164,7 @@
     /// Those that a copy of the store lacks write their entries again, and stay listed
     /// until they had time for it. Else a large fleet, in which each is watched by a few,
     /// would lose all that started lately from sight at once.
-    pub fn relist(&mut self, now: MonoTime, ids: &[Incarnation], reading: Reading) {
+    pub fn replace_listed(&mut self, now: MonoTime, ids: &[Incarnation], reading: Reading) {
         let ids: HashSet<Incarnation> = ids.iter().copied().collect();
         for (id, known) in &mut self.known {
             self.visits.add(1);
@@ -190,12 +191,12 @@
     }
 
     /// It answered a heartbeat.
-    pub fn heard(&mut self, now: MonoTime, id: Incarnation, said: Heartbeat) {
+    pub fn record_heartbeat(&mut self, now: MonoTime, id: Incarnation, said: Heartbeat) {
         if let Some(known) = self.known.get_mut(&id) {
             known.heard = now;
             known.ever_heard = true;
             known.ready = said.ready;
-            known.has_read = said.has_read;
+            known.has_read = said.store_loaded;
             known.entry.leaving |= said.leaving;
         }
     }
@@ -205,7 +206,7 @@
     /// Guards against the time between a start and the arrival of its entry, in
     /// which nobody asked it for anything: after all instances had started anew
     /// they did without each other for up to a second.
-    pub fn started_anew(&mut self, now: MonoTime, earlier: Incarnation, later: Incarnation) {
+    pub fn record_restart(&mut self, now: MonoTime, earlier: Incarnation, later: Incarnation) {
         if let Some(mut known) = self.forget(earlier)
             && !self.known.contains_key(&later)
         {
@@ -231,13 +232,13 @@
     /// Guards against two owners of the same batches for as long as an instance is
     /// cut off from the store alone: its entry runs out, those that were there
     /// before go on hearing it, and one that starts meanwhile reads of all but it.
-    pub fn told(&mut self, now: MonoTime, entry: InstanceEntry) {
+    pub fn add_reported(&mut self, now: MonoTime, entry: InstanceEntry) {
         self.visits.add(1);
-        if self.by_peers.contains_key(&entry.peers) {
+        if self.by_peers.contains_key(&entry.peer_address) {
             return;
         }
         let known = Known {
-            written: StoreRevision::NOTHING,
+            written: StoreRevision::ZERO,
             heard: now,
             ever_heard: false,
             listed: false,
@@ -252,7 +253,7 @@
     }
 
     /// Heartbeats are exchanged with these instances and no others.
-    pub fn watch(&mut self, now: MonoTime, ids: &[Incarnation]) {
+    pub fn set_monitored(&mut self, now: MonoTime, ids: &[Incarnation]) {
         for (id, known) in &mut self.known {
             let watched = ids.contains(id);
             if watched && !known.watched {
@@ -265,7 +266,7 @@
 
     /// The watched ones that the store lists and that do not answer; none if nobody
     /// answers at all: then it is this instance that is cut off.
-    pub fn silent(&self, now: MonoTime) -> Vec<SilentInstance> {
+    pub fn unresponsive(&self, now: MonoTime) -> Vec<UnresponsiveInstance> {
         let watched = || self.known.values().filter(|k| k.watched);
         if !watched().any(|k| k.ever_heard && now.since(k.heard) < SILENT_AFTER) {
             return Vec::new();
@@ -275,16 +276,16 @@
             at.is_some_and(|at| now.since(at) < REMOVE_AGAIN)
         };
         let silent = watched().filter(|k| k.listed && !tried(k));
-        let silent = silent.map(|k| SilentInstance {
+        let silent = silent.map(|k| UnresponsiveInstance {
             id: k.entry.incarnation,
             written: k.written,
-            since: now.since(k.heard),
+            silent_for: now.since(k.heard),
         });
-        silent.filter(|s| s.since >= REMOVE_AFTER).collect()
+        silent.filter(|s| s.silent_for >= REMOVE_AFTER).collect()
     }
 
     /// The removal of a silent one's entry was tried.
-    pub fn removal_tried(&mut self, now: MonoTime, id: Incarnation) {
+    pub fn record_removal_attempt(&mut self, now: MonoTime, id: Incarnation) {
         if let Some(known) = self.known.get_mut(&id) {
             known.removal_tried = Some(now);
         }
@@ -329,13 +330,13 @@
     /// Guards against an owner that has started while the store is away: it knows no
     /// upstream, each of those that asked it went on to another by itself, and three
     /// filled batches beside each other until the backlog of seconds was done.
-    pub fn able(&self, now: MonoTime) -> impl Iterator<Item = &InstanceEntry> {
+    pub fn live_loaded(&self, now: MonoTime) -> impl Iterator<Item = &InstanceEntry> {
         let able = move |k: &&Known| k.is_there(now) && !k.entry.leaving && k.has_read;
         self.known.values().filter(able).map(|k| &k.entry)
     }
 
     /// True if the instance at this address is there, whichever start of it.
-    pub fn is_there(&self, now: MonoTime, peers: SocketAddr) -> bool {
+    pub fn is_present_at(&self, now: MonoTime, peers: SocketAddr) -> bool {
         let id = self.by_peers.get(&peers);
         let known = id.and_then(|id| self.known.get(id));
         known.is_some_and(|k| k.is_there(now))
@@ -347,7 +348,7 @@
     }
 
     /// True if it answered a heartbeat lately.
-    pub fn is_heard(&self, now: MonoTime, id: Incarnation) -> bool {
+    pub fn is_present(&self, now: MonoTime, id: Incarnation) -> bool {
         let known = self.known.get(&id);
         known.is_some_and(|k| k.is_there(now))
     }
@@ -363,12 +364,12 @@
         let others = self.known.values().filter(|k| k.is_there(now));
         let others = others.filter(|k| k.ready && !k.entry.leaving);
         let mut all: Vec<&InstanceEntry> = others.map(|k| &k.entry).chain(own).collect();
-        all.sort_by_key(|e| (e.zone.as_str() != zone, e.callers));
+        all.sort_by_key(|e| (e.zone.as_str() != zone, e.caller_address));
         let near = all.iter().filter(|e| e.zone.as_str() == zone).count();
         if near >= ENOUGH_NEAR {
             all.truncate(near);
         }
-        let addresses = all.into_iter().map(|e| e.callers);
+        let addresses = all.into_iter().map(|e| e.caller_address);
         addresses.take(MAX_ADDRESSES).collect()
     }
 
@@ -380,7 +381,7 @@
 
     fn insert(&mut self, known: Known) {
         let id = known.entry.incarnation;
-        self.by_peers.insert(known.entry.peers, id);
+        self.by_peers.insert(known.entry.peer_address, id);
         if !known.listed {
             self.unlisted.insert(id);
         }
@@ -390,8 +391,8 @@
     fn forget(&mut self, id: Incarnation) -> Option<Known> {
         self.unlisted.remove(&id);
         let known = self.known.remove(&id)?;
-        if self.by_peers.get(&known.entry.peers) == Some(&id) {
-            self.by_peers.remove(&known.entry.peers);
+        if self.by_peers.get(&known.entry.peer_address) == Some(&id) {
+            self.by_peers.remove(&known.entry.peer_address);
         }
         Some(known)
     }
--- a/crates/serving/src/owner.rs
+++ b/crates/serving/src/owner.rs
@@ -58,7 +58,7 @@
     let far = |zone: &Name| shard.zone.as_ref().is_some_and(|z| z != zone);
     let mut ranked: Vec<_> = instances
         .map(|e| {
-            let rank = spread(hash ^ spread_address(e.peers));
+            let rank = spread(hash ^ spread_address(e.peer_address));
             (Reverse(e.strength), far(&e.zone), rank, e)
         })
         .collect();
--- a/crates/serving/src/quarantine_list.rs
+++ b/crates/serving/src/quarantine_list.rs
@@ -11,9 +11,9 @@
 /// How long something is held against a request: long enough for operators to act, short
 /// enough that what was wrongly held is over while its caller still remembers it. A
 /// request that is let through afterwards needs one more end to be quarantined again.
-pub const HELD_FOR: Duration = Duration::from_secs(600);
+pub const QUARANTINE_TTL: Duration = Duration::from_secs(600);
 /// The most requests that something is held against. Each has cost several upstreams, so
-/// that more of them within [`HELD_FOR`] mean another trouble. With 24 bytes each, all fit
+/// that more of them within [`QUARANTINE_TTL`] mean another trouble. With 24 bytes each, all fit
 /// into one heartbeat.
 const MOST: usize = 128;
 
@@ -58,7 +58,7 @@
     }
 
     /// True while it may turn out to be innocent.
-    pub fn is_open(self) -> bool {
+    pub fn is_active(self) -> bool {
         self.phase != QuarantinePhase::Released
     }
 }
@@ -75,23 +75,23 @@
     /// What is held against it now.
     pub state: QuarantineState,
     /// When this instance came to hold it.
-    pub taken: MonoTime,
+    pub recorded_at: MonoTime,
     /// When it is forgotten.
-    pub lapses: MonoTime,
+    pub expires_at: MonoTime,
     /// What the store is known to have.
     pub stored: Option<QuarantineState>,
 }
 
 impl QuarantineEntry {
     /// When it was first held anywhere, to within the time that messages take.
-    pub fn since(&self) -> MonoTime {
-        self.lapses.before(HELD_FOR)
+    pub fn first_recorded(&self) -> MonoTime {
+        self.expires_at.before(QUARANTINE_TTL)
     }
 }
 
 impl QuarantineList {
     /// Takes in what somebody holds against a request; true if that is news.
-    pub fn take(
+    pub fn merge(
         &mut self,
         now: MonoTime,
         content: Content,
@@ -99,7 +99,7 @@
         left: Duration,
     ) -> bool {
         self.forget(now);
-        let lapses = now + left.min(HELD_FOR);
+        let lapses = now + left.min(QUARANTINE_TTL);
         let known = self.held.get(&content);
         if left.is_zero() || known.is_some_and(|h| h.state >= told) {
             return false;
@@ -110,8 +110,8 @@
         }
         let held = QuarantineEntry {
             state: told,
-            taken: now,
-            lapses,
+            recorded_at: now,
+            expires_at: lapses,
             stored,
         };
         self.held.insert(content, held);
@@ -119,7 +119,7 @@
     }
 
     /// The store has this of a request; none once it has nothing any more.
-    pub fn stored(&mut self, content: Content, state: Option<QuarantineState>) {
+    pub fn set_stored(&mut self, content: Content, state: Option<QuarantineState>) {
         if let Some(held) = self.held.get_mut(&content) {
             held.stored = state;
         }
@@ -127,16 +127,16 @@
 
     /// The store has something of these requests and of no others. Without this, what it
     /// gave up while its changes were lost would not be written again.
-    pub fn relist(&mut self, stored: &[Content]) {
+    pub fn replace_stored(&mut self, stored: &[Content]) {
         let gone = |c: &Content| !stored.contains(c);
         let held = self.held.iter_mut().filter(|(c, _)| gone(c));
         held.for_each(|(_, h)| h.stored = None);
     }
 
     /// What is held against a request.
-    pub fn of(&self, now: MonoTime, content: Content) -> Option<QuarantineEntry> {
+    pub fn get(&self, now: MonoTime, content: Content) -> Option<QuarantineEntry> {
         let held = self.held.get(&content).copied();
-        held.filter(|h| h.lapses > now)
+        held.filter(|h| h.expires_at > now)
     }
 
     /// What is to be held against a request after this finding; none if that is so already.
@@ -150,12 +150,12 @@
         finding: &Finding,
         phase: QuarantinePhase,
     ) -> Option<QuarantineState> {
-        let held = self.of(now, finding.content);
+        let held = self.get(now, finding.content);
         let next = match held {
-            None if now.since(finding.last) >= HELD_FOR => return None,
+            None if now.since(finding.last_crash) >= QUARANTINE_TTL => return None,
             None => QuarantineState::first(phase),
-            Some(h) if h.state.is_open() => QuarantineState { phase, ..h.state },
-            Some(h) if finding.last <= h.taken => return None,
+            Some(h) if h.state.is_active() => QuarantineState { phase, ..h.state },
+            Some(h) if finding.last_crash <= h.recorded_at => return None,
             Some(h) => QuarantineState {
                 round: h.state.round + 1,
                 phase,
@@ -165,10 +165,10 @@
     }
 
     /// For how long a request is still kept from upstreams; none if it is not.
-    pub fn quarantine_left(&self, now: MonoTime, content: Content) -> Option<Duration> {
-        let held = self.of(now, content)?;
+    pub fn quarantine_remaining(&self, now: MonoTime, content: Content) -> Option<Duration> {
+        let held = self.get(now, content)?;
         let quarantined = held.state.phase == QuarantinePhase::Quarantined;
-        quarantined.then(|| held.lapses.since(now))
+        quarantined.then(|| held.expires_at.since(now))
     }
 
     /// True if nothing is held against anybody.
@@ -177,20 +177,20 @@
     }
 
     /// All that has not lapsed.
-    pub fn all(&self, now: MonoTime) -> impl Iterator<Item = (Content, QuarantineEntry)> {
+    pub fn entries(&self, now: MonoTime) -> impl Iterator<Item = (Content, QuarantineEntry)> {
         let held = self.held.iter().map(|(content, held)| (*content, *held));
-        held.filter(move |(_, h)| h.lapses > now)
+        held.filter(move |(_, h)| h.expires_at > now)
     }
 
     fn forget(&mut self, now: MonoTime) {
-        self.held.retain(|_, h| h.lapses > now);
+        self.held.retain(|_, h| h.expires_at > now);
     }
 
     /// Gives up what matters least: a mere suspicion first, then what lapses soonest.
     fn give_up_one(&mut self) {
         let least = |(_, h): &(&Content, &QuarantineEntry)| {
             let quarantined = h.state.phase == QuarantinePhase::Quarantined;
-            (quarantined, h.lapses)
+            (quarantined, h.expires_at)
         };
         let least = self.held.iter().min_by_key(least);
         if let Some(content) = least.map(|(content, _)| *content) {
--- a/crates/serving/src/rate_limiter.rs
+++ b/crates/serving/src/rate_limiter.rs
@@ -20,7 +20,7 @@
 
 /// Which part of an upstream's limit an instance gives out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LimiterPart {
+pub enum LimiterShare {
     /// All of it: the instance is the one that all ask first.
     Whole,
     /// A quarter: another may give out permits at the same time, unheard from here.
@@ -64,12 +64,12 @@
         &mut self,
         now: MonoTime,
         rate: RequestRate,
-        part: LimiterPart,
+        part: LimiterShare,
         priority: u8,
     ) -> Result<(), Duration> {
         let per_s = match part {
-            LimiterPart::Whole => rate.per_s(),
-            LimiterPart::Quarter => rate.per_s() / 4.0,
+            LimiterShare::Whole => rate.per_s(),
+            LimiterShare::Quarter => rate.per_s() / 4.0,
         };
         let per_s = per_s.max(LEAST_PER_S);
         let gained = now.since(self.counted).as_secs_f64() * per_s;
--- a/crates/serving/src/repeat_budget.rs
+++ b/crates/serving/src/retry_budget.rs
@@ -7,7 +7,7 @@
 
 /// The users' bound on repeats at one service, over all instances.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct RepeatBound {
+pub struct RetryLimit {
     /// Repeats for each request.
     pub ratio: f64,
     /// Repeats beyond that, over all instances.
@@ -27,20 +27,20 @@
 /// and keeps to the ratio by itself; the slack is divided among as many
 /// instances as are known. No message is needed.
 #[derive(Debug, Default)]
-pub struct RepeatBudget {
+pub struct RetryBudget {
     firsts: VecDeque<MonoTime>,
     repeats: VecDeque<MonoTime>,
 }
 
-impl RepeatBudget {
+impl RetryBudget {
     /// A request was sent for the first time.
-    pub fn first(&mut self, now: MonoTime, bound: &RepeatBound) {
+    pub fn record_first_attempt(&mut self, now: MonoTime, bound: &RetryLimit) {
         self.firsts.push_back(now);
         forget(&mut self.firsts, now, bound.window);
     }
 
     /// True if another repeat is within the bound; it then counts as made.
-    pub fn repeat(&mut self, now: MonoTime, bound: &RepeatBound, instances: usize) -> bool {
+    pub fn try_retry(&mut self, now: MonoTime, bound: &RetryLimit, instances: usize) -> bool {
         forget(&mut self.firsts, now, bound.window);
         forget(&mut self.repeats, now, bound.window);
         let slack = bound.slack / instances.max(1) as f64;
--- a/crates/serving/src/revision.rs
+++ b/crates/serving/src/revision.rs
@@ -17,7 +17,7 @@
 
 impl StoreRevision {
     /// Before anything was read.
-    pub const NOTHING: StoreRevision = StoreRevision {
+    pub const ZERO: StoreRevision = StoreRevision {
         era: 0,
         revision: 0,
     };
--- a/crates/serving/src/route.rs
+++ b/crates/serving/src/route.rs
@@ -6,7 +6,7 @@
 
 /// What may be repeated of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RetryMode {
     /// It may run any number of times.
     Idempotent,
     /// It may run at most once.
@@ -18,15 +18,15 @@
     StreamOnce,
 }
 
-impl Repeat {
+impl RetryMode {
     /// True if the answer is a stream of events.
     pub const fn is_stream(self) -> bool {
-        matches!(self, Repeat::Resumable | Repeat::StreamOnce)
+        matches!(self, RetryMode::Resumable | RetryMode::StreamOnce)
     }
 
     /// True if a second run does no harm.
     pub const fn may_repeat(self) -> bool {
-        matches!(self, Repeat::Idempotent | Repeat::Resumable)
+        matches!(self, RetryMode::Idempotent | RetryMode::Resumable)
     }
 }
 
@@ -60,7 +60,7 @@
     /// The beginning of its paths; begins and ends with a slash.
     pub prefix: CompactString,
     /// What may be repeated.
-    pub repeat: Repeat,
+    pub retry_mode: RetryMode,
     /// The longest time that a request may be kept waiting.
     pub timeout: Duration,
     /// The time within which an answer is worth most.
--- a/crates/serving/src/service.rs
+++ b/crates/serving/src/service.rs
@@ -31,19 +31,19 @@
     /// Pieces in one call.
     pub pieces: usize,
     /// What a call takes however little it holds.
-    pub call: Duration,
+    pub base_time: Duration,
     /// What each piece adds, about.
-    pub piece: Duration,
+    pub piece_time: Duration,
     /// Room for results, in bytes.
     pub room_bytes: u64,
     /// How long a result is kept.
-    pub keep: Duration,
+    pub result_ttl: Duration,
 }
 
 impl BatchSpec {
     /// How long a call of `pieces` takes, about.
     pub fn call_time(&self, pieces: usize) -> Duration {
-        self.call + self.piece * u32::try_from(pieces).unwrap_or(u32::MAX)
+        self.base_time + self.piece_time * u32::try_from(pieces).unwrap_or(u32::MAX)
     }
 }
 
--- a/crates/serving/src/stage_desk.rs
+++ b/crates/serving/src/stage_desk.rs
@@ -118,7 +118,7 @@
         };
         let mut keep = Duration::ZERO;
         if let Some(queue) = self.queues.get_mut(&call.service) {
-            keep = queue.spec.keep;
+            keep = queue.spec.result_ttl;
             if let CallResult::Answered(_) = &result {
                 queue.note_call(now.since(call.began), call.planned);
             }
--- a/crates/serving/src/store_mirror.rs
+++ b/crates/serving/src/store_mirror.rs
@@ -29,9 +29,9 @@
 
 /// What an instance is sent that follows another.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct News {
+pub struct StoreUpdate {
     /// True if the items are all records and not only those that changed.
-    pub whole: bool,
+    pub is_full: bool,
     /// In the order in which they were written.
     pub items: Vec<StoreItem>,
     /// Nothing up to this revision is missing.
@@ -108,12 +108,12 @@
 
     /// True if somebody who knows everything up to `after` has to be sent all records:
     /// of what was removed since some may be forgotten.
-    pub fn is_behind(&self, after: StoreRevision) -> bool {
+    pub fn needs_full_update(&self, after: StoreRevision) -> bool {
         after < self.forgotten
     }
 
     /// How many records there are.
-    pub fn records(&self) -> usize {
+    pub fn record_count(&self) -> usize {
         self.items.len()
     }
 
@@ -123,8 +123,8 @@
     }
 
     /// What somebody lacks who knows everything up to `after`. Only that is looked at.
-    pub fn since(&self, after: StoreRevision) -> News {
-        if self.is_behind(after) {
+    pub fn updates_since(&self, after: StoreRevision) -> StoreUpdate {
+        if self.needs_full_update(after) {
             return self.all();
         }
         let mut written: Vec<&StoreItem> = self.newer(after).collect();
@@ -135,8 +135,8 @@
         removed.reverse();
         let mut items: Vec<StoreItem> = written.into_iter().chain(removed).cloned().collect();
         items.sort_by_key(|i| i.revision);
-        News {
-            whole: false,
+        StoreUpdate {
+            is_full: false,
             items,
             revision: self.revision,
         }
@@ -147,11 +147,11 @@
         self.visits.count()
     }
 
-    fn all(&self) -> News {
+    fn all(&self) -> StoreUpdate {
         let items = self.written.iter().inspect(|_| self.visits.add(1));
         let items = items.filter_map(|(_, key)| self.items.get(key));
-        News {
-            whole: true,
+        StoreUpdate {
+            is_full: true,
             items: items.cloned().collect(),
             revision: self.revision,
         }
--- a/crates/serving/src/news_source.rs
+++ b/crates/serving/src/update_source.rs
@@ -22,7 +22,7 @@
 
 /// From whom an instance hears what the store holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NewsSource {
+pub enum UpdateSource {
     /// From the store itself.
     Store,
     /// From this one that reads the store, to tell it to the instances of a zone.
@@ -31,25 +31,25 @@
     Relay(Incarnation),
 }
 
-impl NewsSource {
+impl UpdateSource {
     /// The instance that it is; none if it is the store itself.
     pub fn instance(self) -> Option<Incarnation> {
         match self {
-            NewsSource::Store => None,
-            NewsSource::Reader(id) | NewsSource::Relay(id) => Some(id),
+            UpdateSource::Store => None,
+            UpdateSource::Reader(id) | UpdateSource::Relay(id) => Some(id),
         }
     }
 }
 
 /// What an instance was lately like as a source of news.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum SourceState {
+pub enum SourceHealth {
     /// Nothing is known against it.
-    Able,
+    Available,
     /// It says that the store does not answer.
-    StoreAway,
+    StoreUnavailable,
     /// It did not answer, or brought nothing.
-    Silent,
+    Unresponsive,
 }
 
 /// From whom `me` hears, of the `others` that are there; `state` tells what each is
@@ -61,28 +61,28 @@
 /// two of each zone hear these, and the others hear those of their zone. One that is
 /// silent or has lost the store is passed over for the next of the same order. While
 /// all say that the store is away the others take their word and do not ask it too.
-pub fn news_source<'a>(
+pub fn update_source<'a>(
     me: &'a InstanceEntry,
     others: impl Iterator<Item = &'a InstanceEntry>,
-    state: impl Fn(Incarnation) -> SourceState,
-) -> NewsSource {
+    state: impl Fn(Incarnation) -> SourceHealth,
+) -> UpdateSource {
     let others: Vec<&InstanceEntry> = others.collect();
     if others.len() < SMALL_FLEET {
-        return NewsSource::Store;
+        return UpdateSource::Store;
     }
     let all = || others.iter().copied().chain([me]);
     let relays = candidates(all().filter(|e| e.zone == me.zone));
     match place(me.incarnation, &relays, RELAYS, &state) {
-        Place::Follows(id) => return NewsSource::Relay(id),
-        Place::LeftAlone => return NewsSource::Store,
+        Place::Follows(id) => return UpdateSource::Relay(id),
+        Place::LeftAlone => return UpdateSource::Store,
         Place::OneOfThem => {}
     }
     let readers = candidates(all());
     match place(me.incarnation, &readers, READERS, &state) {
-        Place::Follows(id) if state(id) == SourceState::Able => NewsSource::Reader(id),
+        Place::Follows(id) if state(id) == SourceHealth::Available => UpdateSource::Reader(id),
         // A relay does not take the readers' word that the store is away: it may be
         // that the store turns just these away, and its zone goes by what it says.
-        Place::Follows(_) | Place::OneOfThem | Place::LeftAlone => NewsSource::Store,
+        Place::Follows(_) | Place::OneOfThem | Place::LeftAlone => UpdateSource::Store,
     }
 }
 
@@ -111,20 +111,20 @@
     me: Incarnation,
     candidates: &[Incarnation],
     count: usize,
-    state: &impl Fn(Incarnation) -> SourceState,
+    state: &impl Fn(Incarnation) -> SourceHealth,
 ) -> Place {
     let in_state = |wanted| {
         let mut found = candidates.iter().copied();
         std::iter::from_fn(move || found.find(|id| state(*id) == wanted))
     };
-    let able: Vec<Incarnation> = in_state(SourceState::Able).take(count).collect();
+    let able: Vec<Incarnation> = in_state(SourceHealth::Available).take(count).collect();
     let mine = me.get() as usize % able.len().max(1);
     match able.get(mine) {
         _ if able.contains(&me) => Place::OneOfThem,
         Some(id) => Place::Follows(*id),
         // Somebody has to notice the store's return.
         None if candidates.contains(&me) => Place::OneOfThem,
-        None => match in_state(SourceState::StoreAway).next() {
+        None => match in_state(SourceHealth::StoreUnavailable).next() {
             Some(id) => Place::Follows(id),
             None => Place::LeftAlone,
         },
--- a/crates/serving/src/upstream_directory.rs
+++ b/crates/serving/src/upstream_directory.rs
@@ -11,8 +11,8 @@
 
 use crate::Reading;
 use crate::UpstreamStart;
+use crate::departures::DepartureSource;
 use crate::departures::Departures;
-use crate::departures::ToldBy;
 use crate::visits::Visits;
 
 /// How long after the store's return an entry that lapsed may still come back.
@@ -81,17 +81,17 @@
 
 impl UpstreamDirectory {
     /// The store does not answer.
-    pub fn store_away(&mut self) {
+    pub fn mark_store_unavailable(&mut self) {
         self.away = true;
     }
 
     /// True while the store does not answer.
-    pub fn is_store_away(&self) -> bool {
+    pub fn is_store_unavailable(&self) -> bool {
         self.away
     }
 
     /// The store answers; true if it did not before.
-    pub fn store_back(&mut self, now: MonoTime) -> bool {
+    pub fn mark_store_available(&mut self, now: MonoTime) -> bool {
         let news = std::mem::take(&mut self.away);
         if news {
             self.back = Some(now);
@@ -116,8 +116,8 @@
         reading: Reading,
     ) -> bool {
         self.visits.add(1);
-        if most_tell && !entry.start.is_told() {
-            return self.leave_out(&entry.id);
+        if most_tell && !entry.start.is_known() {
+            return self.discard(&entry.id);
         }
         let known = self.known.get(&entry.id);
         if known.is_some_and(|k| k.entry.start.is_later_than(entry.start)) {
@@ -125,7 +125,9 @@
         }
         let (id, start) = (entry.id.clone(), entry.start);
         match reading {
-            _ if entry.leaving => self.departures.note(now, &id, start, ToldBy::Entry),
+            _ if entry.leaving => self
+                .departures
+                .note(now, &id, start, DepartureSource::Entry),
             Reading::Complete => self.departures.entry_says_ready(&id),
             Reading::Restored => {}
         }
@@ -145,13 +147,14 @@
 
     /// This start of an upstream said in an answer that it leaves; true if that changes
     /// anything. One that has started again since takes requests.
-    pub fn says_leaving(&mut self, now: MonoTime, id: &str, start: UpstreamStart) -> bool {
+    pub fn mark_leaving(&mut self, now: MonoTime, id: &str, start: UpstreamStart) -> bool {
         let known = self.known.get_mut(id);
         let is_old = |k: &&mut Known| k.entry.start.is_later_than(start);
         if known.as_ref().is_some_and(is_old) {
             return false;
         }
-        self.departures.note(now, id, start, ToldBy::Answer);
+        self.departures
+            .note(now, id, start, DepartureSource::Answer);
         known.is_some_and(|k| !std::mem::replace(&mut k.entry.leaving, true))
     }
 
@@ -160,7 +163,7 @@
     ///
     /// Guards against entries that outlast their upstreams, as in a copy of the store: all
     /// that is sent there comes back, and a caller whose tries are used up is refused.
-    pub fn is_elsewhere(
+    pub fn mark_address_reused(
         &mut self,
         now: MonoTime,
         id: &str,
@@ -173,14 +176,14 @@
         let Some(known) = known.filter(same) else {
             return false;
         };
-        self.departures.note(now, id, start, ToldBy::Entry);
+        self.departures.note(now, id, start, DepartureSource::Entry);
         !std::mem::replace(&mut known.entry.leaving, true)
     }
 
     /// Nothing names this upstream any more; true if that changes anything. Unlike
     /// one that is missing it does not count as lapsed with the store: there is an
     /// entry, and it is not the upstream's.
-    pub fn leave_out(&mut self, id: &str) -> bool {
+    pub fn discard(&mut self, id: &str) -> bool {
         self.forget(id)
     }
 
@@ -197,7 +200,7 @@
             }
             Some(known) => {
                 let start = known.entry.start;
-                self.departures.note(now, id, start, ToldBy::Entry);
+                self.departures.note(now, id, start, DepartureSource::Entry);
                 self.forget(id)
             }
         }
@@ -262,7 +265,7 @@
     }
 
     fn insert(&mut self, id: CompactString, known: Known) {
-        self.told += usize::from(known.entry.start.is_told());
+        self.told += usize::from(known.entry.start.is_known());
         if let Some(before) = self.known.insert(id, known) {
             self.uncount(&before);
         }
@@ -277,7 +280,7 @@
     }
 
     fn uncount(&mut self, known: &Known) {
-        self.told -= usize::from(known.entry.start.is_told());
+        self.told -= usize::from(known.entry.start.is_known());
         self.lapsed -= usize::from(known.lapsed);
     }
 
@@ -289,6 +292,6 @@
 /// True if more of the entries tell their start than do not. One alone that tells it
 /// may be another writer's, and must not cost the others their place.
 fn most_tell_start<'a>(entries: impl Iterator<Item = &'a UpstreamEntry>) -> bool {
-    let (told, untold): (Vec<_>, Vec<_>) = entries.partition(|e| e.start.is_told());
+    let (told, untold): (Vec<_>, Vec<_>) = entries.partition(|e| e.start.is_known());
     told.len() > untold.len()
 }
--- a/crates/serving/src/upstream_limits.rs
+++ b/crates/serving/src/upstream_limits.rs
@@ -32,7 +32,7 @@
     /// Its limit; none if it names none.
     pub limit: Option<RequestRate>,
     /// When the answer was heard, at whichever instance.
-    pub heard: MonoTime,
+    pub received_at: MonoTime,
 }
 
 impl LimitNotice {
@@ -43,13 +43,13 @@
             (Some(own), Some(known)) => own < known,
             (own, known) => own.is_some() && known.is_none(),
         };
-        match self.heard {
+        match self.received_at {
             _ if self.start.is_later_than(known.start) => true,
             _ if known.start.is_later_than(self.start) => false,
-            heard if heard >= known.heard + MAY_HAVE_CROSSED => true,
-            heard if known.heard >= heard + MAY_HAVE_CROSSED => false,
+            heard if heard >= known.received_at + MAY_HAVE_CROSSED => true,
+            heard if known.received_at >= heard + MAY_HAVE_CROSSED => false,
             _ if stricter => true,
-            heard => self.limit == known.limit && heard >= known.heard + HEARD_AGAIN,
+            heard => self.limit == known.limit && heard >= known.received_at + HEARD_AGAIN,
         }
     }
 }
@@ -72,7 +72,7 @@
 
 impl UpstreamLimits {
     /// Takes in what an upstream said; the change, if that is one.
-    pub fn take(&mut self, id: &str, said: LimitNotice) -> Option<LimitChange> {
+    pub fn record(&mut self, id: &str, said: LimitNotice) -> Option<LimitChange> {
         let known = self.known.get(id);
         let counts = known.map_or(said.limit.is_some(), |known| said.replaces(known));
         if !counts || (known.is_none() && self.known.len() >= MOST) {
@@ -89,13 +89,13 @@
     }
 
     /// What an upstream last said that counts; none if it never named a limit.
-    pub fn of(&self, id: &str) -> Option<LimitNotice> {
+    pub fn notice(&self, id: &str) -> Option<LimitNotice> {
         self.known.get(id).copied()
     }
 
     /// The limit that an upstream names.
     pub fn limit(&self, id: &str) -> Option<RequestRate> {
-        self.of(id)?.limit
+        self.notice(id)?.limit
     }
 
     /// True if no upstream ever named a limit.
@@ -110,16 +110,17 @@
 
     /// Forgets the upstreams that have started again, and those that are gone for long;
     /// `start_of` tells the start of one that is there.
-    pub fn forget_gone(&mut self, now: MonoTime, start_of: impl Fn(&str) -> Option<UpstreamStart>) {
+    pub fn remove_gone(&mut self, now: MonoTime, start_of: impl Fn(&str) -> Option<UpstreamStart>) {
         self.known.retain(|id, notice| match start_of(id) {
             Some(start) => !start.is_later_than(notice.start),
-            None => now.since(notice.heard) < GONE_FOR,
+            None => now.since(notice.received_at) < GONE_FOR,
         });
     }
 
     /// What others are told: the limits, and which have ended lately.
-    pub fn told(&self, now: MonoTime) -> impl Iterator<Item = (&str, LimitNotice)> {
-        let told = move |n: &LimitNotice| n.limit.is_some() || now.since(n.heard) < END_TOLD_FOR;
+    pub fn announced(&self, now: MonoTime) -> impl Iterator<Item = (&str, LimitNotice)> {
+        let told =
+            move |n: &LimitNotice| n.limit.is_some() || now.since(n.received_at) < END_TOLD_FOR;
         let known = self.known.iter().map(|(id, notice)| (id.as_str(), *notice));
         known.filter(move |(_, notice)| told(notice))
     }
--- a/crates/serving/src/upstream_start.rs
+++ b/crates/serving/src/upstream_start.rs
@@ -10,7 +10,7 @@
 
 impl UpstreamStart {
     /// A start that nothing was told of.
-    pub const UNTOLD: UpstreamStart = UpstreamStart(None);
+    pub const UNKNOWN: UpstreamStart = UpstreamStart(None);
 
     /// The start at that many milliseconds since 1970.
     pub fn at_millis(ms: u64) -> UpstreamStart {
@@ -23,7 +23,7 @@
     }
 
     /// True if the upstream told it.
-    pub fn is_told(self) -> bool {
+    pub fn is_known(self) -> bool {
         self.0.is_some()
     }
 
--- a/crates/serving/tests/backoffs.rs
+++ b/crates/serving/tests/backoffs.rs
@@ -6,14 +6,17 @@
 use std::time::Duration;
 
 use jd_serving::Backoffs;
-use jd_serving::FleetPlace;
+use jd_serving::FleetPosition;
 use jd_serving::RetryAfter;
 use jd_serving::UpstreamStart;
 use jd_types::MonoTime;
 use test_case::test_case;
 
-const FIRST: UpstreamStart = UpstreamStart::UNTOLD;
-const ALONE: FleetPlace = FleetPlace { rank: 0, of: 1 };
+const FIRST: UpstreamStart = UpstreamStart::UNKNOWN;
+const ALONE: FleetPosition = FleetPosition {
+    rank: 0,
+    fleet_size: 1,
+};
 
 fn at(ms: u64) -> MonoTime {
     MonoTime::from_millis(ms)
@@ -31,7 +34,7 @@
 fn said(notices: &[(u64, &str)]) -> Backoffs {
     let mut backoffs = Backoffs::default();
     for (ms, wait) in notices {
-        backoffs.take(at(*ms), address(1), "u", FIRST, seconds(wait), ALONE);
+        backoffs.record(at(*ms), address(1), "u", FIRST, seconds(wait), ALONE);
     }
     backoffs
 }
@@ -44,7 +47,7 @@
 #[test_case(&[(0, "3"), (2_000, "3")], 4_000, Some(1_000); "a later wait adds to it")]
 #[test_case(&[(0, "1e300")], 1_000_000_000, Some(18_446_743_073_709_551); "for longer than any clock runs")]
 fn an_upstream_is_left_alone(notices: &[(u64, &str)], now: u64, left_ms: Option<u64>) {
-    let left = said(notices).left(at(now), address(1), "u", FIRST);
+    let left = said(notices).remaining(at(now), address(1), "u", FIRST);
     assert_eq!(left.map(|l| l.as_millis() as u64), left_ms);
 }
 
@@ -54,19 +57,19 @@
 fn a_wait_binds_the_start_that_asked_for_it() {
     let mut backoffs = Backoffs::default();
     let [first, second] = [1, 2].map(UpstreamStart::at_millis);
-    backoffs.take(at(0), address(1), "u", first, seconds("3"), ALONE);
-    let left = |id, start| backoffs.left(at(10), address(1), id, start);
+    backoffs.record(at(0), address(1), "u", first, seconds("3"), ALONE);
+    let left = |id, start| backoffs.remaining(at(10), address(1), id, start);
     assert!(left("u", first).is_some());
     assert_eq!(left("u", second), None);
     assert_eq!(left("v", FIRST), None);
-    assert_eq!(backoffs.left(at(10), address(2), "u", first), None);
+    assert_eq!(backoffs.remaining(at(10), address(2), "u", first), None);
 }
 
 /// Results are given up at an address, where no entry may name the upstream any more.
 #[test]
 fn a_wait_binds_whoever_is_at_the_address_if_nobody_knows_who_that_is() {
     let backoffs = said(&[(0, "3")]);
-    let left = backoffs.left(at(1_000), address(1), "", FIRST);
+    let left = backoffs.remaining(at(1_000), address(1), "", FIRST);
     assert_eq!(left, Some(Duration::from_secs(2)));
 }
 
@@ -86,13 +89,13 @@
 #[test_case(295)]
 fn instances_do_not_return_in_one_moment(instances: u32) {
     let end = |rank| {
-        let place = FleetPlace {
+        let place = FleetPosition {
             rank,
-            of: instances,
+            fleet_size: instances,
         };
         let mut backoffs = Backoffs::default();
-        backoffs.take(at(0), address(1), "u", FIRST, seconds("3"), place);
-        let left = backoffs.left(at(0), address(1), "u", FIRST);
+        backoffs.record(at(0), address(1), "u", FIRST, seconds("3"), place);
+        let left = backoffs.remaining(at(0), address(1), "u", FIRST);
         left.expect("a wait").as_millis()
     };
     let mut ends: Vec<u128> = (0..instances).map(end).collect();
--- a/crates/serving/tests/cold_start.rs
+++ b/crates/serving/tests/cold_start.rs
@@ -6,13 +6,13 @@
 
 use jd_serving::ColdSpec;
 use jd_serving::ColdStart;
-use jd_serving::FleetPlace;
+use jd_serving::FleetPosition;
 use jd_types::MonoTime;
 use jd_types::spread;
 use test_case::test_case;
 
 const SPEC: ColdSpec = ColdSpec {
-    lasts: Duration::from_secs(3),
+    duration: Duration::from_secs(3),
     per_s: 8.9,
 };
 /// Requests in one second that end a cold upstream of these.
@@ -24,8 +24,11 @@
     MonoTime::from_millis(ms)
 }
 
-fn place(rank: u32, of: u32) -> FleetPlace {
-    FleetPlace { rank, of }
+fn place(rank: u32, of: u32) -> FleetPosition {
+    FleetPosition {
+        rank,
+        fleet_size: of,
+    }
 }
 
 /// The most arrivals in any span of a second.
@@ -45,7 +48,7 @@
 fn arrivals_while_cold(instances: u32, per_s: u64, restart_at: Option<u64>) -> Vec<u64> {
     let fresh = || {
         let mut cold = ColdStart::default();
-        cold.told(at(4_000));
+        cold.set_cold_until(at(4_000));
         cold
     };
     let mut fleet: Vec<ColdStart> = (0..instances).map(|_| fresh()).collect();
@@ -57,8 +60,8 @@
         }
         let rank = u32::try_from(spread(n) % u64::from(instances)).expect("small");
         let own = &mut fleet[rank as usize];
-        if own.bears(at(now), SPEC, place(rank, instances)) {
-            own.sent(at(now), SPEC);
+        if own.may_send(at(now), SPEC, place(rank, instances)) {
+            own.record_sent(at(now), SPEC);
             arrivals.push(now + spread(n ^ 77) % JITTER_MS);
         }
     }
@@ -100,18 +103,18 @@
 fn an_upstream_that_was_away_counts_as_cold_when_it_is_back() {
     let mut cold = ColdStart::default();
     assert!(!cold.is_cold(at(1_000), SPEC));
-    cold.may_have_started(at(5_000));
+    cold.record_possible_start(at(5_000));
     assert!(cold.is_cold(at(7_900), SPEC));
-    assert!(!cold.bears(at(7_900), SPEC, place(80, 85)));
+    assert!(!cold.may_send(at(7_900), SPEC, place(80, 85)));
     assert!(!cold.is_cold(at(8_000), SPEC));
-    assert!(cold.bears(at(8_000), SPEC, place(80, 85)));
+    assert!(cold.may_send(at(8_000), SPEC, place(80, 85)));
 }
 
 /// News of an earlier end of coldness, which comes late, does not make it warm.
 #[test]
 fn later_word_does_not_shorten_what_was_told() {
     let mut cold = ColdStart::default();
-    cold.told(at(9_000));
-    cold.told(at(0));
+    cold.set_cold_until(at(9_000));
+    cold.set_cold_until(at(0));
     assert!(cold.is_cold(at(8_900), SPEC));
 }
--- a/crates/serving/tests/crash_evidence.rs
+++ b/crates/serving/tests/crash_evidence.rs
@@ -7,7 +7,7 @@
 use jd_serving::Content;
 use jd_serving::CrashEvidence;
 use jd_serving::Findings;
-use jd_serving::UpstreamEnd;
+use jd_serving::UpstreamCrash;
 use jd_serving::UpstreamStart;
 use jd_types::MonoTime;
 
@@ -21,12 +21,12 @@
 }
 
 /// An upstream of that name ended, with runs that began at these times.
-fn end(upstream: u64, ms: u64, runs: &[(u64, u64)]) -> UpstreamEnd {
+fn end(upstream: u64, ms: u64, runs: &[(u64, u64)]) -> UpstreamCrash {
     let runs = runs.iter().map(|(content, began)| BrokenRun {
         content: Content::from_number(*content),
         began: at(*began),
     });
-    UpstreamEnd {
+    UpstreamCrash {
         service: "pool".into(),
         upstream: upstream.to_string().into(),
         start: UpstreamStart::at_millis(1),
@@ -45,14 +45,14 @@
 
 /// Takes ends in as they come, and looks every 100 ms until the given time. Findings
 /// of the last look, and when something was first quarantined.
-fn play(ends: Vec<UpstreamEnd>, until: u64) -> (Findings, Vec<(u64, u64)>) {
+fn play(ends: Vec<UpstreamCrash>, until: u64) -> (Findings, Vec<(u64, u64)>) {
     let mut evidence = CrashEvidence::default();
     play_on(&mut evidence, ends, 0, until)
 }
 
 fn play_on(
     evidence: &mut CrashEvidence,
-    ends: Vec<UpstreamEnd>,
+    ends: Vec<UpstreamCrash>,
     from: u64,
     until: u64,
 ) -> (Findings, Vec<(u64, u64)>) {
@@ -61,7 +61,7 @@
     let mut last = Findings::default();
     for ms in (from..=until).step_by(100) {
         while let Some(end) = ends.next_if(|e| e.at <= at(ms)) {
-            evidence.ended(at(ms), end);
+            evidence.record_crash(at(ms), end);
         }
         last = evidence.findings(at(ms));
         for found in &last.quarantined {
@@ -108,14 +108,14 @@
 #[test]
 fn a_request_that_ran_well_between_losses_is_not_held_against() {
     let mut evidence = CrashEvidence::default();
-    let loss = |k: u64| -> Vec<UpstreamEnd> {
+    let loss = |k: u64| -> Vec<UpstreamCrash> {
         let one = move |n: u64| end(k * 9 + n, k * 4_000 + n, &[(OTHER, k * 4_000 - 100)]);
         (0..9).map(one).collect()
     };
     play_on(&mut evidence, loss(1), 0, 5_000);
     let (last, _) = play_on(&mut evidence, loss(2), 5_100, 9_000);
     assert_eq!(numbers(&last.suspected), [OTHER]);
-    evidence.completed(&good("pool", OTHER, 8_900));
+    evidence.record_completed_run(&good("pool", OTHER, 8_900));
     let (last, first) = play_on(&mut evidence, loss(3), 9_100, 20_000);
     assert_eq!(first, []);
     assert_eq!(last, Findings::default());
@@ -128,9 +128,9 @@
     let mut evidence = CrashEvidence::default();
     for n in 0..3 {
         let ended = end(n, 1_000 + n * 600, &[(BAD, 900 + n * 600)]);
-        evidence.ended(at(1_000 + n * 600), ended);
+        evidence.record_crash(at(1_000 + n * 600), ended);
     }
-    evidence.completed(&good("stage", BAD, 2_250));
+    evidence.record_completed_run(&good("stage", BAD, 2_250));
     let (last, _) = play_on(&mut evidence, Vec::new(), 2_300, 6_000);
     assert_eq!(numbers(&last.quarantined), [BAD]);
 }
@@ -142,8 +142,8 @@
     let mut evidence = CrashEvidence::default();
     for n in 0..3 {
         let ms = 1_000 + n * 600;
-        evidence.ended(at(ms), end(n, ms, &[(BAD, ms - 100)]));
-        assert!(!evidence.completed(&good("pool", BAD, 850)));
+        evidence.record_crash(at(ms), end(n, ms, &[(BAD, ms - 100)]));
+        assert!(!evidence.record_completed_run(&good("pool", BAD, 850)));
     }
     let (last, _) = play_on(&mut evidence, Vec::new(), 2_300, 6_000);
     assert_eq!(numbers(&last.quarantined), [BAD]);
@@ -220,7 +220,7 @@
     });
     let (last, _) = play_on(&mut evidence, both.collect(), 0, 4_500);
     assert_eq!(numbers(&last.quarantined), [OTHER]);
-    evidence.ended(at(4_600), end(4, 4_600, &[(BAD, 4_550)]));
+    evidence.record_crash(at(4_600), end(4, 4_600, &[(BAD, 4_550)]));
     let mut released = Vec::new();
     for ms in (4_600..7_000).step_by(100) {
         released.extend(evidence.findings(at(ms)).released);
@@ -267,7 +267,7 @@
     let ends = (0..3).map(|n| end(n, 1_000 + n * 600, &[(OTHER, 900 + n * 600)]));
     let (last, _) = play_on(&mut evidence, ends.collect(), 0, 4_000);
     assert_eq!(numbers(&last.quarantined), [OTHER]);
-    evidence.check(at(12_000), |_, _| true);
+    evidence.discard_listed(at(12_000), |_, _| true);
     let findings = evidence.findings(at(12_000));
     assert_eq!(findings.quarantined, []);
     assert_eq!(findings.released, [Content::from_number(OTHER)]);
@@ -282,12 +282,12 @@
     for n in 0..10 {
         let ms = 1_000 + n * 1_500;
         let ended = end(n, ms, &[(100 + n, ms - 60), (OTHER, ms - 300)]);
-        evidence.ended(at(ms), ended);
+        evidence.record_crash(at(ms), ended);
         for later in (ms..ms + 1_500).step_by(100) {
             let findings = evidence.findings(at(later));
             quarantined.extend(numbers(&findings.quarantined));
             if numbers(&findings.suspected).contains(&OTHER) {
-                evidence.completed(&good("pool", OTHER, later));
+                evidence.record_completed_run(&good("pool", OTHER, later));
             }
         }
     }
@@ -301,7 +301,7 @@
     let ends = (0..3).map(|n| end(n, 1_000 + n * 600, &[(BAD, 900 + n * 600)]));
     play_on(&mut evidence, ends.collect(), 0, 4_000);
     let later = 700_000;
-    evidence.ended(at(later), end(9, later, &[(BAD, later - 80)]));
+    evidence.record_crash(at(later), end(9, later, &[(BAD, later - 80)]));
     let findings = evidence.findings(at(later + 300));
     assert_eq!(numbers(&findings.quarantined), [BAD]);
 }
@@ -316,7 +316,7 @@
     assert_eq!(numbers(&last.quarantined), [BAD]);
     for n in 10..2_000 {
         let ms = 4_000 + n * 10;
-        evidence.ended(at(ms), end(n, ms, &[(1_000 + n, ms - 5)]));
+        evidence.record_crash(at(ms), end(n, ms, &[(1_000 + n, ms - 5)]));
         assert_eq!(evidence.findings(at(ms)).released, []);
     }
 }
--- a/crates/serving/tests/eras.rs
+++ b/crates/serving/tests/eras.rs
@@ -67,7 +67,7 @@
             .apply(vec![put("b", rev(1, 20))], rev(1, 20))
             .is_empty()
     );
-    let items: Vec<StoreItem> = mirror.since(StoreRevision::NOTHING).items;
+    let items: Vec<StoreItem> = mirror.updates_since(StoreRevision::ZERO).items;
     assert_eq!(items, [put("c", rev(2, 4))]);
 }
 
@@ -77,11 +77,11 @@
 fn a_follower_of_another_era_is_sent_everything_or_nothing() {
     let mut mirror = StoreMirror::default();
     mirror.replace(vec![put("a", rev(2, 4))], rev(2, 5));
-    let behind = mirror.since(rev(1, 900));
-    assert!(behind.whole);
+    let behind = mirror.updates_since(rev(1, 900));
+    assert!(behind.is_full);
     assert_eq!(behind.items.len(), 1);
-    let ahead = mirror.since(rev(3, 1));
-    assert!(!ahead.whole);
+    let ahead = mirror.updates_since(rev(3, 1));
+    assert!(!ahead.is_full);
     assert!(ahead.items.is_empty());
 }
 
@@ -91,8 +91,8 @@
 #[test_case(rev(0, 900), false; "an answer of an earlier era")]
 fn what_is_missing_is_told_by_era_and_revision(said: StoreRevision, missing: bool) {
     let mut freshness = Freshness::default();
-    freshness.applied(rev(1, 100));
-    assert_eq!(freshness.confirmed(at(1_000), said), missing);
+    freshness.record_applied(rev(1, 100));
+    assert_eq!(freshness.record_confirmation(at(1_000), said), missing);
 }
 
 /// Proof of an earlier era says nothing of this one: what came after the copy was made may never
@@ -100,14 +100,14 @@
 #[test]
 fn proof_of_an_earlier_era_proves_nothing() {
     let mut freshness = Freshness::default();
-    freshness.applied(rev(2, 5));
-    freshness.confirmed(at(1_000), rev(1, 4));
+    freshness.record_applied(rev(2, 5));
+    freshness.record_confirmation(at(1_000), rev(1, 4));
     freshness.adopt(Proof {
-        asked: at(1_000),
+        asked_at: at(1_000),
         revision: rev(1, 4),
     });
     assert_eq!(freshness.proof(), None);
-    freshness.confirmed(at(2_000), rev(2, 5));
+    freshness.record_confirmation(at(2_000), rev(2, 5));
     assert_eq!(freshness.age(at(2_100)), Some(Duration::from_millis(100)));
 }
 
@@ -115,9 +115,9 @@
 #[test]
 fn what_was_missing_in_an_earlier_era_is_given_up() {
     let mut freshness = Freshness::default();
-    freshness.applied(rev(1, 100));
-    assert!(freshness.confirmed(at(1_000), rev(1, 120)));
-    freshness.applied(rev(2, 60));
+    freshness.record_applied(rev(1, 100));
+    assert!(freshness.record_confirmation(at(1_000), rev(1, 120)));
+    freshness.record_applied(rev(2, 60));
     assert!(!freshness.is_behind());
     assert_eq!(freshness.proof(), None);
 }
@@ -125,8 +125,8 @@
 fn instance(id: u64) -> InstanceEntry {
     InstanceEntry {
         incarnation: Incarnation::new(id),
-        callers: SocketAddr::from(([127, 0, 0, 1], 80)),
-        peers: SocketAddr::from(([127, 0, 0, 1], 81)),
+        caller_address: SocketAddr::from(([127, 0, 0, 1], 80)),
+        peer_address: SocketAddr::from(([127, 0, 0, 1], 81)),
         zone: Name::try_from("a").expect("a name"),
         strength: Strength::default(),
         leaving: false,
@@ -154,11 +154,11 @@
     let well = Heartbeat {
         leaving: false,
         ready: true,
-        has_read: true,
+        store_loaded: true,
     };
     let mut directory = InstanceDirectory::default();
     directory.put(at(1_000), instance(2), rev(1, 100));
-    directory.heard(at(2_000), Incarnation::new(2), well);
+    directory.record_heartbeat(at(2_000), Incarnation::new(2), well);
     directory.put(at(2_100), instance(1), rev(2, 7));
     assert_eq!(live(&directory, 2_100), [2]);
 }
@@ -170,9 +170,9 @@
 fn an_instance_that_a_copy_lacks_stays_listed_for_a_while(again: bool) {
     let mut directory = InstanceDirectory::default();
     directory.put(at(1_000), instance(1), rev(1, 100));
-    directory.watch(at(1_000), &[]);
-    directory.relist(at(2_000), &[], Reading::Restored);
-    directory.relist(at(2_500), &[], Reading::Complete);
+    directory.set_monitored(at(1_000), &[]);
+    directory.replace_listed(at(2_000), &[], Reading::Restored);
+    directory.replace_listed(at(2_500), &[], Reading::Complete);
     directory.expire(at(4_999));
     assert_eq!(live(&directory, 4_999), [1]);
     if again {
--- a/crates/serving/tests/evacuation.rs
+++ b/crates/serving/tests/evacuation.rs
@@ -28,10 +28,10 @@
     assert!(!zones.is_evacuated(&zone("a")));
     assert!(zones.is_evacuated(&zone("b")));
     assert_eq!(
-        zones.taken_back_at(&zone("a")),
+        zones.evacuation_ended_at(&zone("a")),
         Some(MonoTime::from_millis(50))
     );
-    assert_eq!(zones.taken_back_at(&zone("b")), None);
+    assert_eq!(zones.evacuation_ended_at(&zone("b")), None);
 }
 
 /// The store comes back from a copy that is older than an evacuation. The operator has
@@ -71,7 +71,7 @@
     let mut zones = EvacuatedZones::default();
     zones.evacuate(zone("a"));
     zones.replace(at(1_000), [].into(), Reading::Restored);
-    assert!(zones.take_back(at(2_000), &zone("a")));
+    assert!(zones.end_evacuation(at(2_000), &zone("a")));
     assert!(!zones.is_evacuated(&zone("a")));
 }
 
--- a/crates/serving/tests/growth.rs
+++ b/crates/serving/tests/growth.rs
@@ -7,9 +7,10 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use jd_serving::FirstSources;
+use jd_serving::BootstrapSources;
 use jd_serving::InstanceEntry;
 use jd_serving::Reading;
+use jd_serving::RecentShards;
 use jd_serving::Shard;
 use jd_serving::ShardMap;
 use jd_serving::StoreItem;
@@ -19,8 +20,7 @@
 use jd_serving::UpstreamDirectory;
 use jd_serving::UpstreamEntry;
 use jd_serving::UpstreamStart;
-use jd_serving::UsedShards;
-use jd_serving::watched;
+use jd_serving::heartbeat_peers;
 use jd_types::Incarnation;
 use jd_types::MonoTime;
 use jd_types::Name;
@@ -83,7 +83,7 @@
     mirror.apply(changes, rev(records + 3));
     let before = mirror.visited();
     for _ in 0..95 {
-        assert_eq!(mirror.since(rev(records)).items.len(), 3);
+        assert_eq!(mirror.updates_since(rev(records)).items.len(), 3);
     }
     let visited = mirror.visited() - before;
     assert!(visited <= 95 * 6, "{visited} visited");
@@ -98,8 +98,8 @@
     let gone = records / 6;
     let removals = (0..gone).map(|n| removal(n, records + n + 1)).collect();
     mirror.apply(removals, rev(records + gone));
-    let news = mirror.since(rev(records));
-    assert!(!news.whole);
+    let news = mirror.updates_since(rev(records));
+    assert!(!news.is_full);
     assert_eq!(news.items.len() as u64, gone);
 }
 
@@ -142,8 +142,8 @@
     let at = |port: u16| SocketAddr::from(([10, a, b, c], port));
     InstanceEntry {
         incarnation: Incarnation::new(jd_types::spread(u64::from(n)) >> 1),
-        callers: at(80),
-        peers: at(81),
+        caller_address: at(80),
+        peer_address: at(81),
         zone: zone(n),
         strength: match n < strong {
             true => Strength::new(50, 200),
@@ -171,15 +171,15 @@
     for n in (0..instances).step_by(37) {
         let me = &fleet[n as usize];
         let others: Vec<InstanceEntry> = fleet.iter().filter(|e| *e != me).cloned().collect();
-        let mut used = UsedShards::default();
+        let mut used = RecentShards::default();
         let at = |s: u32| MonoTime::ZERO + Duration::from_secs(s.into());
         // Requests with stages at a quarter of a second's rate for each instance.
         for s in 0..20 {
             let shard = all[(n + s * 7) as usize % all.len()];
-            used.note(at(s * 4), shard);
+            used.record_use(at(s * 4), shard);
         }
-        let shards = used.watched(at(77), &shards);
-        let partners = watched(me, &others, &shards, Some(fleet[0].incarnation));
+        let shards = used.monitored(at(77), &shards);
+        let partners = heartbeat_peers(me, &others, &shards, Some(fleet[0].incarnation));
         assert!(partners.len() <= 8, "{} partners", partners.len());
         assert!(!partners.contains(&me.incarnation));
     }
@@ -191,20 +191,20 @@
     let fleet: Vec<InstanceEntry> = (0..985).map(|n| instance(n, 50)).collect();
     let places: Vec<Name> = (0..1_500).map(zone).collect();
     let shards = ShardMap::new(places.iter().map(|zone| ("rank", zone)));
-    let mut used = UsedShards::default();
+    let mut used = RecentShards::default();
     let now = MonoTime::from_micros(1);
     for (n, shard) in shards.shards().enumerate() {
-        assert!(used.note(now + Duration::from_millis(n as u64), shard));
-        assert!(!used.note(now + Duration::from_millis(n as u64), shard));
+        assert!(used.record_use(now + Duration::from_millis(n as u64), shard));
+        assert!(!used.record_use(now + Duration::from_millis(n as u64), shard));
     }
     let late = now + Duration::from_millis(200);
     let last = shards.shards().last().cloned().expect("a shard");
-    let watching = used.watched(late, &shards);
+    let watching = used.monitored(late, &shards);
     assert!(watching.contains(&last));
-    let partners = watched(&fleet[100], &fleet[..100], &watching, None);
+    let partners = heartbeat_peers(&fleet[100], &fleet[..100], &watching, None);
     assert!(partners.len() <= 19, "{} partners", partners.len());
     assert!(
-        used.watched(late + Duration::from_secs(6), &shards)
+        used.monitored(late + Duration::from_secs(6), &shards)
             .is_empty()
     );
 }
@@ -227,8 +227,8 @@
             "{} read",
             sample.len()
         );
-        let sources = FirstSources::of_sample(me.incarnation, &sample);
-        let first = sources.expect("a large fleet").ask_next();
+        let sources = BootstrapSources::from_sample(me.incarnation, &sample);
+        let first = sources.expect("a large fleet").next_source();
         *asked.entry(first.expect("a source")).or_default() += 1;
     }
     assert!(asked.len() <= 16 * 3, "{} read the store", asked.len());
@@ -240,16 +240,16 @@
 #[test]
 fn sources_that_do_not_answer_are_replaced_by_the_next() {
     let sample: Vec<InstanceEntry> = (0..40).map(|n| instance(n, 3)).collect();
-    let sources = FirstSources::of_sample(Incarnation::new(1), &sample);
+    let sources = BootstrapSources::from_sample(Incarnation::new(1), &sample);
     let mut sources = sources.expect("a large fleet");
     let mut seen = Vec::new();
-    while let Some(source) = sources.ask_next() {
+    while let Some(source) = sources.next_source() {
         assert!(!seen.contains(&source));
         seen.push(source);
-        sources.is_silent(source);
+        sources.remove_unresponsive(source);
     }
     assert!(seen.len() > 2);
-    assert!(FirstSources::of_sample(Incarnation::new(1), &sample[..9]).is_none());
+    assert!(BootstrapSources::from_sample(Incarnation::new(1), &sample[..9]).is_none());
 }
 
 /// Guards against weak instances that all read the store because a part of the fleet asked
@@ -257,11 +257,11 @@
 #[test]
 fn a_weak_instance_leaves_reading_to_a_stronger_one() {
     let sample: Vec<InstanceEntry> = (0..40).map(|n| instance(n, 3)).collect();
-    let sources = FirstSources::of_sample(Incarnation::new(1), &sample);
+    let sources = BootstrapSources::from_sample(Incarnation::new(1), &sample);
     let sources = sources.expect("a large fleet");
-    assert!(sources.yields_for(sample[0].strength).is_zero());
-    assert!(!sources.yields_for(sample[30].strength).is_zero());
-    let weak = FirstSources::of_sample(Incarnation::new(1), &sample[10..]);
+    assert!(sources.store_read_delay(sample[0].strength).is_zero());
+    assert!(!sources.store_read_delay(sample[30].strength).is_zero());
+    let weak = BootstrapSources::from_sample(Incarnation::new(1), &sample[10..]);
     let weak = weak.expect("a large fleet");
-    assert!(weak.yields_for(sample[30].strength).is_zero());
+    assert!(weak.store_read_delay(sample[30].strength).is_zero());
 }
--- a/crates/serving/tests/instances.rs
+++ b/crates/serving/tests/instances.rs
@@ -20,8 +20,8 @@
 fn entry(id: u64, host: u8, zone: &str) -> InstanceEntry {
     InstanceEntry {
         incarnation: Incarnation::new(id),
-        callers: SocketAddr::from(([127, 0, 0, host], 80)),
-        peers: SocketAddr::from(([127, 0, 0, host], 81)),
+        caller_address: SocketAddr::from(([127, 0, 0, host], 80)),
+        peer_address: SocketAddr::from(([127, 0, 0, host], 81)),
         zone: Name::try_from(zone).expect("a name"),
         strength: Strength::default(),
         leaving: false,
@@ -31,7 +31,7 @@
 const WELL: Heartbeat = Heartbeat {
     leaving: false,
     ready: true,
-    has_read: true,
+    store_loaded: true,
 };
 const LEAVING: Heartbeat = Heartbeat {
     leaving: true,
@@ -63,8 +63,8 @@
     let (later, earlier) = (entry(2, 1, "a"), entry(9, 1, "a"));
     directory.put(at(1_000), later.clone(), rev(20));
     directory.put(at(1_000), earlier.clone(), rev(10));
-    directory.started_anew(at(1_050), earlier.incarnation, later.incarnation);
-    directory.heard(at(1_400), later.incarnation, WELL);
+    directory.record_restart(at(1_050), earlier.incarnation, later.incarnation);
+    directory.record_heartbeat(at(1_400), later.incarnation, WELL);
     assert_eq!(live(&directory, at(1_500)), [later.incarnation]);
 }
 
@@ -93,7 +93,7 @@
     };
     let first = |directory: &InstanceDirectory, now, me: &InstanceEntry| {
         let all = directory.live(now).chain([me]);
-        owners(&shard("", 0), all, 1)[0].peers
+        owners(&shard("", 0), all, 1)[0].peer_address
     };
     let mut seen = Vec::new();
     for me in 0..9 {
@@ -105,7 +105,7 @@
         seen.push(first(&directory, at(20), &later(me)));
         for n in &others {
             let (was, is) = (earlier[*n].incarnation, later(*n).incarnation);
-            directory.started_anew(at(60), was, is);
+            directory.record_restart(at(60), was, is);
             seen.push(first(&directory, at(60), &later(me)));
         }
         for n in &others {
@@ -129,7 +129,7 @@
     directory.put(at(1_000), a.clone(), rev(1));
     assert_eq!(live(&directory, at(1_500)), [a.incarnation]);
     assert!(live(&directory, at(1_700)).is_empty());
-    directory.heard(at(1_800), a.incarnation, WELL);
+    directory.record_heartbeat(at(1_800), a.incarnation, WELL);
     assert_eq!(live(&directory, at(2_900)), [a.incarnation]);
 }
 
@@ -141,9 +141,12 @@
     let (a, b) = (entry(1, 1, "a"), entry(2, 2, "a"));
     directory.put(at(1_000), a.clone(), rev(1));
     directory.put(at(1_000), b.clone(), rev(1));
-    directory.heard(at(2_000), a.incarnation, WELL);
-    directory.heard(at(3_000), a.incarnation, WELL);
-    assert_eq!(directory.addresses(at(3_000), "a", None), [a.callers]);
+    directory.record_heartbeat(at(2_000), a.incarnation, WELL);
+    directory.record_heartbeat(at(3_000), a.incarnation, WELL);
+    assert_eq!(
+        directory.addresses(at(3_000), "a", None),
+        [a.caller_address]
+    );
 }
 
 /// A stop names the instance as leaving; what was heard before counts no more,
@@ -153,7 +156,7 @@
     let mut directory = InstanceDirectory::default();
     let a = entry(1, 1, "a");
     directory.put(at(1_000), a.clone(), rev(1));
-    directory.heard(at(1_100), a.incarnation, LEAVING);
+    directory.record_heartbeat(at(1_100), a.incarnation, LEAVING);
     directory.put(at(1_200), a, rev(1));
     assert!(directory.addresses(at(1_200), "a", None).is_empty());
 }
@@ -166,7 +169,7 @@
     directory.put(at(1_000), a.clone(), rev(1));
     directory.unlist(a.incarnation);
     for now in (1_400..9_000).step_by(400) {
-        directory.heard(at(now), a.incarnation, WELL);
+        directory.record_heartbeat(at(now), a.incarnation, WELL);
         directory.expire(at(now));
         assert_eq!(live(&directory, at(now)), [a.incarnation]);
     }
@@ -237,7 +240,7 @@
     let (a, b) = (entry(1, 1, "a"), entry(2, 2, "a"));
     directory.put(at(1_000), a.clone(), rev(1));
     directory.put(at(1_000), b.clone(), rev(1));
-    directory.watch(at(1_000), &[a.incarnation]);
+    directory.set_monitored(at(1_000), &[a.incarnation]);
     assert_eq!(live(&directory, at(9_000)), [b.incarnation]);
     directory.unlist(b.incarnation);
     assert!(live(&directory, at(9_000)).is_empty());
@@ -252,8 +255,8 @@
     let (a, b) = (entry(1, 1, "a"), entry(2, 2, "a"));
     directory.put(at(1_000), a.clone(), rev(1));
     directory.put(at(1_000), b.clone(), rev(1));
-    directory.watch(at(1_000), &[]);
-    directory.relist(at(1_500), &[a.incarnation], Reading::Complete);
+    directory.set_monitored(at(1_000), &[]);
+    directory.replace_listed(at(1_500), &[a.incarnation], Reading::Complete);
     assert_eq!(live(&directory, at(1_100)), [a.incarnation]);
 }
 
@@ -265,16 +268,16 @@
     let (cut, old, new) = (entry(1, 1, "a"), entry(2, 2, "a"), entry(3, 3, "a"));
     let mut before = InstanceDirectory::default();
     before.put(at(1_000), cut.clone(), rev(1));
-    before.heard(at(1_100), cut.incarnation, WELL);
+    before.record_heartbeat(at(1_100), cut.incarnation, WELL);
     before.unlist(cut.incarnation);
     let mut started = InstanceDirectory::default();
     started.put(at(1_200), old.clone(), rev(2));
     for entry in before.unlisted(at(1_200)) {
-        started.told(at(1_200), entry.clone());
+        started.add_reported(at(1_200), entry.clone());
     }
     let first = |d: &InstanceDirectory, me: &InstanceEntry| {
         let all = d.live(at(1_300)).chain([me]);
-        owners(&shard("", 0), all, 1)[0].peers
+        owners(&shard("", 0), all, 1)[0].peer_address
     };
     before.put(at(1_250), new.clone(), rev(3));
     assert_eq!(first(&before, &old), first(&started, &new));
@@ -291,23 +294,26 @@
     let all: Vec<InstanceEntry> = (1..=4_u8).map(|n| entry(n.into(), n, "a")).collect();
     for (n, entry) in all.iter().enumerate() {
         directory.put(at(1_000), entry.clone(), rev(1 + n as u64));
-        directory.heard(at(1_000), entry.incarnation, WELL);
+        directory.record_heartbeat(at(1_000), entry.incarnation, WELL);
     }
     let order = |d: &InstanceDirectory| -> Vec<SocketAddr> {
-        let order = owners(&shard("", 0), d.able(at(1_200)), usize::MAX);
-        order.into_iter().map(|e| e.peers).collect()
+        let order = owners(&shard("", 0), d.live_loaded(at(1_200)), usize::MAX);
+        order.into_iter().map(|e| e.peer_address).collect()
     };
     let before = order(&directory);
-    let first = all.iter().find(|e| e.peers == before[0]).expect("an entry");
+    let first = all
+        .iter()
+        .find(|e| e.peer_address == before[0])
+        .expect("an entry");
     let blank = Heartbeat {
-        has_read: false,
+        store_loaded: false,
         ready: false,
         ..WELL
     };
-    directory.heard(at(1_100), first.incarnation, blank);
+    directory.record_heartbeat(at(1_100), first.incarnation, blank);
     assert_eq!(order(&directory), before[1..]);
     assert_eq!(live(&directory, at(1_200)).len(), 4);
-    directory.heard(at(1_150), first.incarnation, WELL);
+    directory.record_heartbeat(at(1_150), first.incarnation, WELL);
     assert_eq!(order(&directory), before);
 }
 
@@ -319,14 +325,14 @@
         directory.put(at(1_000), entry.clone(), rev(10 + n as u64));
     }
     let ids: Vec<Incarnation> = all.iter().map(|e| e.incarnation).collect();
-    directory.watch(at(1_000), &ids);
+    directory.set_monitored(at(1_000), &ids);
     for ms in (1_000..=9_000).step_by(400) {
         if ms <= until {
-            directory.heard(at(ms), ids[0], WELL);
+            directory.record_heartbeat(at(ms), ids[0], WELL);
         }
-        directory.heard(at(ms), ids[1], WELL);
+        directory.record_heartbeat(at(ms), ids[1], WELL);
     }
-    directory.heard(at(9_000), ids[2], WELL);
+    directory.record_heartbeat(at(9_000), ids[2], WELL);
     directory
 }
 
@@ -336,7 +342,7 @@
 #[test]
 fn a_silent_instance_is_to_be_removed() {
     let directory = watched(6_000);
-    let silent = directory.silent(at(9_000));
+    let silent = directory.unresponsive(at(9_000));
     assert_eq!(silent.len(), 1);
     assert_eq!(silent[0].id, Incarnation::new(1));
     assert_eq!(silent[0].written, rev(10));
@@ -346,7 +352,7 @@
 /// nobody until it had written its entry again.
 #[test]
 fn an_instance_that_stood_still_for_a_moment_is_not_removed() {
-    assert!(watched(7_400).silent(at(9_000)).is_empty());
+    assert!(watched(7_400).unresponsive(at(9_000)).is_empty());
 }
 
 /// This instance is cut off and reaches the store alone. All others look silent, and it
@@ -354,13 +360,13 @@
 #[test]
 fn an_instance_that_hears_nobody_removes_nobody() {
     let directory = watched(6_000);
-    assert!(directory.silent(at(12_000)).is_empty());
+    assert!(directory.unresponsive(at(12_000)).is_empty());
 }
 
 /// Of several that watch an instance one has removed it, and the news is on its way.
 #[test]
 fn a_removal_that_was_tried_is_not_tried_again_at_once() {
     let mut directory = watched(6_000);
-    directory.removal_tried(at(9_000), Incarnation::new(1));
-    assert!(directory.silent(at(9_300)).is_empty());
+    directory.record_removal_attempt(at(9_000), Incarnation::new(1));
+    assert!(directory.unresponsive(at(9_300)).is_empty());
 }
--- a/crates/serving/tests/knowledge.rs
+++ b/crates/serving/tests/knowledge.rs
@@ -8,8 +8,8 @@
 use jd_serving::Freshness;
 use jd_serving::Proof;
 use jd_serving::Reading;
-use jd_serving::RepeatBound;
-use jd_serving::RepeatBudget;
+use jd_serving::RetryBudget;
+use jd_serving::RetryLimit;
 use jd_serving::StoreRevision;
 use jd_serving::UpstreamDirectory;
 use jd_serving::UpstreamEntry;
@@ -28,7 +28,7 @@
 fn upstream(id: &str, leaving: bool) -> UpstreamEntry {
     UpstreamEntry {
         id: id.into(),
-        start: UpstreamStart::UNTOLD,
+        start: UpstreamStart::UNKNOWN,
         service: "pool".into(),
         address: SocketAddr::from(([127, 0, 0, 1], 80)),
         zone: Name::try_from("a").expect("a name"),
@@ -53,8 +53,8 @@
 fn proof_counts_from_when_it_was_asked_for() {
     let mut freshness = Freshness::default();
     assert_eq!(freshness.age(at(1_000)), None);
-    freshness.applied(rev(7));
-    assert!(!freshness.confirmed(at(1_000), rev(7)));
+    freshness.record_applied(rev(7));
+    assert!(!freshness.record_confirmation(at(1_000), rev(7)));
     assert_eq!(freshness.age(at(4_000)), Some(Duration::from_secs(3)));
 }
 
@@ -63,13 +63,13 @@
 #[test]
 fn proof_waits_for_what_is_missing() {
     let mut freshness = Freshness::default();
-    freshness.applied(rev(7));
-    assert!(freshness.confirmed(at(1_000), rev(9)));
+    freshness.record_applied(rev(7));
+    assert!(freshness.record_confirmation(at(1_000), rev(9)));
     assert!(freshness.is_behind());
     assert_eq!(freshness.age(at(1_100)), None);
-    freshness.applied(rev(8));
+    freshness.record_applied(rev(8));
     assert_eq!(freshness.age(at(1_100)), None);
-    freshness.applied(rev(9));
+    freshness.record_applied(rev(9));
     assert!(!freshness.is_behind());
     assert_eq!(freshness.age(at(1_100)), Some(Duration::from_millis(100)));
 }
@@ -79,9 +79,9 @@
 #[test]
 fn the_proof_of_another_instance_counts_for_what_is_known_here() {
     let mut freshness = Freshness::default();
-    freshness.applied(rev(7));
+    freshness.record_applied(rev(7));
     let proof = |asked, revision| Proof {
-        asked: at(asked),
+        asked_at: at(asked),
         revision: rev(revision),
     };
     freshness.adopt(proof(1_000, 8));
@@ -95,9 +95,9 @@
 #[test]
 fn an_older_answer_does_not_make_proof_older() {
     let mut freshness = Freshness::default();
-    freshness.applied(rev(7));
-    freshness.confirmed(at(2_000), rev(7));
-    freshness.confirmed(at(1_000), rev(6));
+    freshness.record_applied(rev(7));
+    freshness.record_confirmation(at(2_000), rev(7));
+    freshness.record_confirmation(at(1_000), rev(6));
     assert_eq!(freshness.age(at(2_000)), Some(Duration::ZERO));
 }
 
@@ -108,8 +108,8 @@
     let mut directory = UpstreamDirectory::default();
     directory.put(at(0), upstream("i-1", false));
     directory.put(at(0), upstream("i-2", false));
-    directory.store_away();
-    assert!(directory.store_back(at(10_000)));
+    directory.mark_store_unavailable();
+    assert!(directory.mark_store_available(at(10_000)));
     assert!(!directory.replace(at(10_000), Vec::new(), Reading::Complete));
     assert_eq!(ids(&directory), ["i-1", "i-2"]);
     assert!(directory.put(at(0), upstream("i-1", false)));
@@ -124,8 +124,8 @@
 fn an_upstream_that_was_leaving_is_gone_at_once() {
     let mut directory = UpstreamDirectory::default();
     directory.put(at(0), upstream("i-1", true));
-    directory.store_away();
-    directory.store_back(at(10_000));
+    directory.mark_store_unavailable();
+    directory.mark_store_available(at(10_000));
     assert!(directory.remove(at(10_000), "i-1"));
     assert!(ids(&directory).is_empty());
 }
@@ -146,7 +146,7 @@
     assert!(directory.put(at(0), upstream("i-1", true)));
 }
 
-const BOUND: RepeatBound = RepeatBound {
+const BOUND: RetryLimit = RetryLimit {
     ratio: 0.2,
     slack: 56.0,
     window: Duration::from_secs(10),
@@ -157,13 +157,13 @@
 #[test]
 fn all_instances_together_stay_well_inside_the_bound() {
     let mut sent = 0;
-    let mut budgets: Vec<RepeatBudget> = (0..8).map(|_| RepeatBudget::default()).collect();
+    let mut budgets: Vec<RetryBudget> = (0..8).map(|_| RetryBudget::default()).collect();
     for n in 0..800_u64 {
         let now = at(1_000 + n * 12);
         let budget = &mut budgets[n as usize % 8];
-        budget.first(now, &BOUND);
-        sent += usize::from(budget.repeat(now, &BOUND, 8));
-        sent += usize::from(budget.repeat(now, &BOUND, 8));
+        budget.record_first_attempt(now, &BOUND);
+        sent += usize::from(budget.try_retry(now, &BOUND, 8));
+        sent += usize::from(budget.try_retry(now, &BOUND, 8));
     }
     let allowed = 800.0 * BOUND.ratio + BOUND.slack;
     assert!(sent as f64 <= allowed * 0.6, "{sent} of {allowed}");
@@ -176,8 +176,8 @@
 fn the_bound_holds_when_half_of_the_instances_are_unknown() {
     let mut sent = 0;
     for _ in 0..8 {
-        let mut budget = RepeatBudget::default();
-        while budget.repeat(at(1_000), &BOUND, 4) {
+        let mut budget = RetryBudget::default();
+        while budget.try_retry(at(1_000), &BOUND, 4) {
             sent += 1;
         }
     }
@@ -186,8 +186,8 @@
 
 #[test]
 fn repeats_come_back_with_time() {
-    let mut budget = RepeatBudget::default();
-    while budget.repeat(at(1_000), &BOUND, 8) {}
-    assert!(!budget.repeat(at(10_000), &BOUND, 8));
-    assert!(budget.repeat(at(11_100), &BOUND, 8));
+    let mut budget = RetryBudget::default();
+    while budget.try_retry(at(1_000), &BOUND, 8) {}
+    assert!(!budget.try_retry(at(10_000), &BOUND, 8));
+    assert!(budget.try_retry(at(11_100), &BOUND, 8));
 }
--- a/crates/serving/tests/leaving.rs
+++ b/crates/serving/tests/leaving.rs
@@ -13,7 +13,7 @@
 use jd_types::Name;
 use test_case::test_case;
 
-const UNTOLD: UpstreamStart = UpstreamStart::UNTOLD;
+const UNTOLD: UpstreamStart = UpstreamStart::UNKNOWN;
 
 fn at(ms: u64) -> MonoTime {
     MonoTime::from_millis(ms)
@@ -50,8 +50,8 @@
 #[test]
 fn an_upstream_that_says_it_leaves_is_used_no_more() {
     let mut directory = listed(UNTOLD);
-    assert!(directory.says_leaving(at(10), "u", UNTOLD));
-    assert!(!directory.says_leaving(at(20), "u", UNTOLD), "no news");
+    assert!(directory.mark_leaving(at(10), "u", UNTOLD));
+    assert!(!directory.mark_leaving(at(20), "u", UNTOLD), "no news");
     assert_eq!(is_used(&directory), Some(false));
 }
 
@@ -59,7 +59,7 @@
 #[test]
 fn an_entry_of_before_does_not_take_the_word_back() {
     let mut directory = listed(UNTOLD);
-    directory.says_leaving(at(10), "u", UNTOLD);
+    directory.mark_leaving(at(10), "u", UNTOLD);
     directory.put(at(20), entry(UNTOLD));
     assert_eq!(is_used(&directory), Some(false));
     directory.replace(at(30), vec![entry(UNTOLD)], Reading::Complete);
@@ -74,7 +74,7 @@
     if removed {
         directory.put(at(0), entry(UNTOLD));
     }
-    directory.says_leaving(at(10), "u", UNTOLD);
+    directory.mark_leaving(at(10), "u", UNTOLD);
     directory.remove(at(20), "u");
     directory.expire(at(5_000));
     directory.put(at(6_000), entry(UNTOLD));
@@ -84,7 +84,7 @@
 #[test]
 fn the_word_is_kept_as_long_as_the_entry() {
     let mut directory = listed(UNTOLD);
-    directory.says_leaving(at(10), "u", UNTOLD);
+    directory.mark_leaving(at(10), "u", UNTOLD);
     for minute in 1..10 {
         directory.expire(at(minute * 60_000));
     }
@@ -97,10 +97,10 @@
 #[test_case(2, 2, false; "of this start")]
 fn the_word_binds_the_start_that_gave_it(said: u64, listed_start: u64, used: bool) {
     let mut before = listed(started(listed_start));
-    before.says_leaving(at(10), "u", started(said));
+    before.mark_leaving(at(10), "u", started(said));
     assert_eq!(is_used(&before), Some(used));
     let mut after = listed(started(1));
-    after.says_leaving(at(10), "u", started(said));
+    after.mark_leaving(at(10), "u", started(said));
     after.put(at(20), entry(started(listed_start)));
     assert_eq!(is_used(&after), Some(used));
 }
@@ -153,7 +153,7 @@
 fn an_upstream_whose_address_another_has_is_used_no_more(port: u16, start: u64, used: bool) {
     let address = SocketAddr::from(([127, 0, 0, 1], port));
     let mut directory = listed(started(1));
-    let news = directory.is_elsewhere(at(10), "u", started(start), address);
+    let news = directory.mark_address_reused(at(10), "u", started(start), address);
     assert_eq!(news, !used);
     assert_eq!(is_used(&directory), Some(used));
     directory.put(at(20), entry(started(1)));
@@ -178,7 +178,7 @@
                 directory.put(now, UpstreamEntry { leaving, ..entry })
             }
             Word::Removal => directory.remove(now, "u"),
-            Word::Answer => directory.says_leaving(now, "u", UNTOLD),
+            Word::Answer => directory.mark_leaving(now, "u", UNTOLD),
         };
     }
 }
--- a/crates/serving/tests/limited_fleet.rs
+++ b/crates/serving/tests/limited_fleet.rs
@@ -8,7 +8,7 @@
 
 use fastrand::Rng;
 use jd_serving::LimitNotice;
-use jd_serving::LimiterPart;
+use jd_serving::LimiterShare;
 use jd_serving::RateLimiter;
 use jd_serving::RequestRate;
 use jd_serving::UpstreamLimits;
@@ -128,8 +128,8 @@
             return Err(Duration::from_millis(300));
         };
         let part = match order.first() == Some(limiter) {
-            true => LimiterPart::Whole,
-            false => LimiterPart::Quarter,
+            true => LimiterShare::Whole,
+            false => LimiterShare::Quarter,
         };
         self.tell(n, *limiter);
         let asked = &mut self.all[*limiter];
@@ -142,11 +142,11 @@
 
     /// What one has heard, the other hears.
     fn tell(&mut self, from: usize, to: usize) {
-        if let Some(notice) = self.all[from].limits.of("u") {
-            self.all[to].limits.take("u", notice);
+        if let Some(notice) = self.all[from].limits.notice("u") {
+            self.all[to].limits.record("u", notice);
         }
-        if let Some(notice) = self.all[to].limits.of("u") {
-            self.all[from].limits.take("u", notice);
+        if let Some(notice) = self.all[to].limits.notice("u") {
+            self.all[from].limits.record("u", notice);
         }
     }
 
@@ -178,11 +178,11 @@
         for (_, from) in arrived {
             self.arrivals.push(now);
             let notice = LimitNotice {
-                start: UpstreamStart::UNTOLD,
+                start: UpstreamStart::UNKNOWN,
                 limit,
-                heard: now,
+                received_at: now,
             };
-            self.all[from].limits.take("u", notice);
+            self.all[from].limits.record("u", notice);
         }
     }
 
--- a/crates/serving/tests/mirror.rs
+++ b/crates/serving/tests/mirror.rs
@@ -31,12 +31,12 @@
     let mut mirror = StoreMirror::default();
     mirror.replace(vec![put("a", 3), put("b", 5)], rev(6));
     mirror.apply(vec![put("a", 8), removed("b", 9)], rev(9));
-    let news = mirror.since(rev(6));
-    assert!(!news.whole);
+    let news = mirror.updates_since(rev(6));
+    assert!(!news.is_full);
     assert_eq!(news.items, [put("a", 8), removed("b", 9)]);
     assert_eq!(news.revision, rev(9));
-    assert_eq!(mirror.since(rev(8)).items, [removed("b", 9)]);
-    assert!(mirror.since(rev(9)).items.is_empty());
+    assert_eq!(mirror.updates_since(rev(8)).items, [removed("b", 9)]);
+    assert!(mirror.updates_since(rev(9)).items.is_empty());
 }
 
 /// The instance that watches had its history taken away and read everything
@@ -47,8 +47,8 @@
     let mut mirror = StoreMirror::default();
     mirror.replace(vec![put("a", 3), put("b", 5)], rev(6));
     mirror.replace(vec![put("a", 3)], rev(20));
-    let news = mirror.since(rev(6));
-    assert!(news.whole);
+    let news = mirror.updates_since(rev(6));
+    assert!(news.is_full);
     assert_eq!(news.items, [put("a", 3)]);
 }
 
@@ -61,8 +61,8 @@
         let both = vec![put(&key, 2 + 2 * n), removed(&key, 3 + 2 * n)];
         mirror.apply(both, rev(3 + 2 * n));
     }
-    assert!(mirror.since(rev(2)).whole);
-    assert!(!mirror.since(rev(3_900)).whole);
+    assert!(mirror.updates_since(rev(2)).is_full);
+    assert!(!mirror.updates_since(rev(3_900)).is_full);
 }
 
 /// Two ways lead to the same news, and the slower one brings it again.
@@ -73,6 +73,6 @@
     assert!(!mirror.replace(vec![put("a", 3)], rev(4)));
     let late = vec![put("a", 5), put("b", 7)];
     assert!(mirror.apply(late, rev(11)).is_empty());
-    assert_eq!(mirror.since(rev(8)).items, [put("a", 9)]);
+    assert_eq!(mirror.updates_since(rev(8)).items, [put("a", 9)]);
     assert_eq!(mirror.revision(), rev(11));
 }
--- a/crates/serving/tests/news_sources.rs
+++ b/crates/serving/tests/news_sources.rs
@@ -6,10 +6,10 @@
 use std::net::SocketAddr;
 
 use jd_serving::InstanceEntry;
-use jd_serving::NewsSource;
-use jd_serving::SourceState;
+use jd_serving::SourceHealth;
 use jd_serving::Strength;
-use jd_serving::news_source;
+use jd_serving::UpdateSource;
+use jd_serving::update_source;
 use jd_types::Incarnation;
 use jd_types::Name;
 use test_case::test_case;
@@ -24,8 +24,8 @@
         let strong = usize::from(n) < zones * 3;
         InstanceEntry {
             incarnation: Incarnation::new(u64::from(n) * 7_919 + 1),
-            callers: address(80),
-            peers: address(90),
+            caller_address: address(80),
+            peer_address: address(90),
             zone: Name::try_from(ZONES[usize::from(n) % zones]).expect("a name"),
             strength: Strength::new(if strong { 50 } else { 12 }, 200),
             leaving: false,
@@ -37,24 +37,24 @@
 /// The source of each instance.
 fn sources(
     all: &[InstanceEntry],
-    state: impl Fn(Incarnation) -> SourceState,
-) -> HashMap<Incarnation, NewsSource> {
+    state: impl Fn(Incarnation) -> SourceHealth,
+) -> HashMap<Incarnation, UpdateSource> {
     let source = |me: &InstanceEntry| {
         let others = all.iter().filter(|e| e.incarnation != me.incarnation);
-        (me.incarnation, news_source(me, others, &state))
+        (me.incarnation, update_source(me, others, &state))
     };
     all.iter().map(source).collect()
 }
 
-fn readers(sources: &HashMap<Incarnation, NewsSource>) -> Vec<Incarnation> {
-    let reads = |(_, source): &(&Incarnation, &NewsSource)| **source == NewsSource::Store;
+fn readers(sources: &HashMap<Incarnation, UpdateSource>) -> Vec<Incarnation> {
+    let reads = |(_, source): &(&Incarnation, &UpdateSource)| **source == UpdateSource::Store;
     let mut readers: Vec<Incarnation> = sources.iter().filter(reads).map(|(id, _)| *id).collect();
     readers.sort_unstable();
     readers
 }
 
 /// How many steps news takes from the store to an instance; none if in a circle.
-fn steps(sources: &HashMap<Incarnation, NewsSource>, from: Incarnation) -> Option<usize> {
+fn steps(sources: &HashMap<Incarnation, UpdateSource>, from: Incarnation) -> Option<usize> {
     let mut at = from;
     for steps in 0..10 {
         match sources.get(&at)?.instance() {
@@ -65,8 +65,8 @@
     None
 }
 
-fn able(_: Incarnation) -> SourceState {
-    SourceState::Able
+fn able(_: Incarnation) -> SourceHealth {
+    SourceHealth::Available
 }
 
 /// Two of each zone watched the store, and each change answered each watch: with five
@@ -101,8 +101,8 @@
     let all = fleet(295, 5);
     let first = readers(&sources(&all, able));
     let lost = |id| match first.contains(&id) {
-        true => SourceState::StoreAway,
-        false => SourceState::Able,
+        true => SourceHealth::StoreUnavailable,
+        false => SourceHealth::Available,
     };
     let after = sources(&all, lost);
     let next = readers(&after);
@@ -127,8 +127,8 @@
     relays.dedup();
     assert_eq!(relays.len(), 2);
     let lost = |id| match relays.contains(&id) {
-        true => SourceState::Silent,
-        false => SourceState::Able,
+        true => SourceHealth::Unresponsive,
+        false => SourceHealth::Available,
     };
     let after = sources(&all, lost);
     let others = all.iter().filter(|e| !zone_a(e));
@@ -151,7 +151,7 @@
 #[test]
 fn while_the_store_is_away_a_few_ask_for_all() {
     let all = fleet(295, 5);
-    let sources = sources(&all, |_| SourceState::StoreAway);
+    let sources = sources(&all, |_| SourceHealth::StoreUnavailable);
     let asking = readers(&sources).len();
     assert!((2..=24).contains(&asking), "{asking} ask the store");
 }
@@ -160,7 +160,7 @@
 #[test]
 fn an_instance_that_nobody_answers_reads_the_store() {
     let all = fleet(295, 5);
-    let sources = sources(&all, |_| SourceState::Silent);
+    let sources = sources(&all, |_| SourceHealth::Unresponsive);
     assert_eq!(readers(&sources).len(), all.len());
 }
 
@@ -175,8 +175,8 @@
     let me = all[39].incarnation;
     let first = before[&me].instance().expect("one that is followed");
     let lost = |id| match id == first {
-        true => SourceState::StoreAway,
-        false => SourceState::Able,
+        true => SourceHealth::StoreUnavailable,
+        false => SourceHealth::Available,
     };
     let after = sources(&all, lost)[&me];
     assert!(after.instance().is_some_and(|id| id != first), "{after:?}");
--- a/crates/serving/tests/quarantine_list.rs
+++ b/crates/serving/tests/quarantine_list.rs
@@ -33,9 +33,9 @@
 fn finding(content: u64, last: u64) -> Finding {
     Finding {
         content: Content::from_number(content),
-        ends: 3,
-        longest: Duration::from_millis(80),
-        last: at(last),
+        crashes: 3,
+        longest_run: Duration::from_millis(80),
+        last_crash: at(last),
     }
 }
 
@@ -48,7 +48,7 @@
     let found = finding(BAD, 10_000);
     let next = list.next_state(at(11_000), &found, QuarantinePhase::Quarantined);
     let next = next.expect("it is held");
-    list.take(at(11_000), found.content, next, Duration::from_secs(600));
+    list.merge(at(11_000), found.content, next, Duration::from_secs(600));
     let later = at(620_000);
     let renewed = list.next_state(later, &found, QuarantinePhase::Quarantined);
     assert_eq!(renewed, None);
@@ -68,7 +68,7 @@
     let found = finding(OTHER, 10_000);
     let left = Duration::from_secs(500);
     let released = QuarantineState::first(QuarantinePhase::Released);
-    list.take(at(60_000), found.content, released, left);
+    list.merge(at(60_000), found.content, released, left);
     let held = list.next_state(at(60_250), &found, QuarantinePhase::Quarantined);
     assert_eq!(held, None);
     let again = finding(OTHER, 70_000);
@@ -85,17 +85,17 @@
     let left = Duration::from_secs(600);
     let quarantined = QuarantineState::first(QuarantinePhase::Quarantined);
     let released = QuarantineState::first(QuarantinePhase::Released);
-    assert!(list.take(at(0), content, quarantined, left));
-    assert!(list.quarantine_left(at(1), content).is_some());
-    assert!(list.take(at(2), content, released, left));
-    assert!(!list.take(at(3), content, quarantined, left));
-    assert_eq!(list.quarantine_left(at(4), content), None);
+    assert!(list.merge(at(0), content, quarantined, left));
+    assert!(list.quarantine_remaining(at(1), content).is_some());
+    assert!(list.merge(at(2), content, released, left));
+    assert!(!list.merge(at(3), content, quarantined, left));
+    assert_eq!(list.quarantine_remaining(at(4), content), None);
     let again = QuarantineState {
         round: 2,
         phase: QuarantinePhase::Suspected,
     };
-    assert!(list.take(at(5), content, again, left));
-    assert_eq!(list.of(at(6), content).map(|h| h.state), Some(again));
+    assert!(list.merge(at(5), content, again, left));
+    assert_eq!(list.get(at(6), content).map(|h| h.state), Some(again));
 }
 
 /// The store's changes were lost, and with them that it gave a phase up. Read whole it is
@@ -106,11 +106,11 @@
     let mut list = QuarantineList::default();
     let quarantined = QuarantineState::first(QuarantinePhase::Quarantined);
     for content in [kept, gone] {
-        list.take(at(0), content, quarantined, Duration::from_secs(600));
-        list.stored(content, Some(quarantined));
+        list.merge(at(0), content, quarantined, Duration::from_secs(600));
+        list.set_stored(content, Some(quarantined));
     }
-    list.relist(&[kept]);
-    let stored = |c| list.of(at(1), c).and_then(|h| h.stored);
+    list.replace_stored(&[kept]);
+    let stored = |c| list.get(at(1), c).and_then(|h| h.stored);
     assert_eq!((stored(kept), stored(gone)), (Some(quarantined), None));
 }
 
@@ -120,9 +120,9 @@
     let content = Content::from_number(BAD);
     let mut list = QuarantineList::default();
     let quarantined = QuarantineState::first(QuarantinePhase::Quarantined);
-    list.take(at(0), content, quarantined, Duration::from_secs(1_000_000));
-    assert!(list.quarantine_left(at(599_000), content).is_some());
-    assert_eq!(list.quarantine_left(at(600_001), content), None);
+    list.merge(at(0), content, quarantined, Duration::from_secs(1_000_000));
+    assert!(list.quarantine_remaining(at(599_000), content).is_some());
+    assert_eq!(list.quarantine_remaining(at(600_001), content), None);
 }
 
 /// Suspicions come by the thousand; what is quarantined is not pushed out by them.
@@ -131,7 +131,7 @@
     let content = Content::from_number(BAD);
     let mut list = QuarantineList::default();
     let left = Duration::from_secs(600);
-    list.take(
+    list.merge(
         at(0),
         content,
         QuarantineState::first(QuarantinePhase::Quarantined),
@@ -139,15 +139,15 @@
     );
     for n in 10..10_000 {
         let other = Content::from_number(n);
-        list.take(
+        list.merge(
             at(n),
             other,
             QuarantineState::first(QuarantinePhase::Suspected),
             left,
         );
     }
-    assert!(list.quarantine_left(at(10_000), content).is_some());
-    assert!(list.all(at(10_000)).count() <= 128);
+    assert!(list.quarantine_remaining(at(10_000), content).is_some());
+    assert!(list.entries(at(10_000)).count() <= 128);
 }
 
 /// An instance remembers what ran well lately, and not for ever.
--- a/crates/serving/tests/rate_limiter.rs
+++ b/crates/serving/tests/rate_limiter.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use fastrand::Rng;
-use jd_serving::LimiterPart;
+use jd_serving::LimiterShare;
 use jd_serving::RateLimiter;
 use jd_serving::RequestRate;
 use jd_types::MonoTime;
@@ -48,7 +48,7 @@
 fn play(
     instances: usize,
     per_s: f64,
-    limiters: &mut [(RateLimiter, LimiterPart)],
+    limiters: &mut [(RateLimiter, LimiterShare)],
     rng: &mut Rng,
 ) -> Vec<MonoTime> {
     let jitter = |rng: &mut Rng, ms| Duration::from_millis(rng.u64(0..ms));
@@ -85,7 +85,7 @@
 #[test_matrix([1, 3, 9, 75, 85, 295, 985], [0.2, 1.0, 2.5, 40.0])]
 fn an_upstream_gets_what_it_takes_from_any_number_of_instances(instances: usize, per_s: f64) {
     let mut rng = Rng::with_seed(7);
-    let mut limiter = [(RateLimiter::new(MonoTime::ZERO), LimiterPart::Whole)];
+    let mut limiter = [(RateLimiter::new(MonoTime::ZERO), LimiterShare::Whole)];
     let mut arrivals = play(instances, per_s, &mut limiter, &mut rng);
     let used = arrivals.len() as f64 / (per_s * LOAD.as_secs_f64());
     assert!(
@@ -102,7 +102,7 @@
 #[test_matrix([9, 85, 295], [0.2, 1.0, 2.5, 40.0])]
 fn two_halves_that_do_not_hear_each_other_keep_to_the_bound(instances: usize, per_s: f64) {
     let mut rng = Rng::with_seed(11);
-    let mut limiters = [LimiterPart::Whole, LimiterPart::Quarter]
+    let mut limiters = [LimiterShare::Whole, LimiterShare::Quarter]
         .map(|part| (RateLimiter::new(MonoTime::ZERO), part));
     let mut arrivals = play(instances, per_s, &mut limiters, &mut rng);
     assert!(
@@ -118,7 +118,7 @@
 fn nothing_is_saved_up_at_the_start() {
     let mut limiter = RateLimiter::new(MonoTime::ZERO);
     let ask = |limiter: &mut RateLimiter, ms| {
-        limiter.acquire(MonoTime::from_millis(ms), rate(1.0), LimiterPart::Whole, 1)
+        limiter.acquire(MonoTime::from_millis(ms), rate(1.0), LimiterShare::Whole, 1)
     };
     assert_eq!(ask(&mut limiter, 0), Err(Duration::from_secs(1)));
     assert_eq!(ask(&mut limiter, 1_000), Ok(()));
@@ -131,7 +131,7 @@
     let mut limiter = RateLimiter::new(MonoTime::ZERO);
     let now = MonoTime::from_millis(60_000);
     let granted = (0..100).filter(|_| {
-        let asked = limiter.acquire(now, rate(4.0), LimiterPart::Whole, 1);
+        let asked = limiter.acquire(now, rate(4.0), LimiterShare::Whole, 1);
         asked.is_ok()
     });
     assert_eq!(granted.count(), 2);
@@ -141,7 +141,7 @@
 #[test]
 fn turns_are_spread() {
     let mut limiter = RateLimiter::new(MonoTime::ZERO);
-    let turns = (0..5).map(|_| limiter.acquire(MonoTime::ZERO, rate(2.0), LimiterPart::Whole, 1));
+    let turns = (0..5).map(|_| limiter.acquire(MonoTime::ZERO, rate(2.0), LimiterShare::Whole, 1));
     let turns: Vec<u128> = turns
         .filter_map(Result::err)
         .map(|t| t.as_millis())
@@ -158,7 +158,7 @@
     for step in 0..4_000 {
         let now = MonoTime::from_millis(step * 10);
         for priority in [1, 0] {
-            let asked = limiter.acquire(now, rate(2.0), LimiterPart::Whole, priority);
+            let asked = limiter.acquire(now, rate(2.0), LimiterShare::Whole, priority);
             granted[usize::from(priority)] += u32::from(asked.is_ok());
         }
     }
@@ -171,11 +171,11 @@
 #[test_matrix([0.0, 1e300])]
 fn any_rate_has_a_turn(per_s: f64) {
     let mut limiter = RateLimiter::new(MonoTime::ZERO);
-    let first = limiter.acquire(MonoTime::ZERO, rate(per_s), LimiterPart::Quarter, 1);
+    let first = limiter.acquire(MonoTime::ZERO, rate(per_s), LimiterShare::Quarter, 1);
     let wait = first.err().unwrap_or_default();
     let later = MonoTime::ZERO + wait + Duration::from_millis(1);
     assert_eq!(
-        limiter.acquire(later, rate(per_s), LimiterPart::Quarter, 1),
+        limiter.acquire(later, rate(per_s), LimiterShare::Quarter, 1),
         Ok(())
     );
 }
--- a/crates/serving/tests/requests.rs
+++ b/crates/serving/tests/requests.rs
@@ -11,7 +11,7 @@
 use jd_serving::Prompt;
 use jd_serving::PromptPart;
 use jd_serving::PromptUpstream;
-use jd_serving::Repeat;
+use jd_serving::RetryMode;
 use jd_serving::Route;
 use jd_serving::Router;
 use jd_serving::Target;
@@ -23,7 +23,7 @@
         name: name.into(),
         host: "desk.example".into(),
         prefix: prefix.into(),
-        repeat: Repeat::Idempotent,
+        retry_mode: RetryMode::Idempotent,
         timeout: Duration::from_secs(1),
         objective: Duration::from_millis(100),
         priority: 1,
@@ -103,8 +103,8 @@
         Some(&b"id: 1\ndata: x\n\nid: 2\ndata: y\n\n"[..])
     );
     assert_eq!(splitter.last_event(), Some(2));
-    assert_eq!(&splitter.rest()[..], b"id: 3\nda");
-    assert!(splitter.rest().is_empty());
+    assert_eq!(&splitter.take_remaining()[..], b"id: 3\nda");
+    assert!(splitter.take_remaining().is_empty());
 }
 
 #[test]
--- a/crates/serving/tests/restarts.rs
+++ b/crates/serving/tests/restarts.rs
@@ -227,8 +227,8 @@
     let start = UpstreamStart::at_millis;
     directory.put(MonoTime::ZERO, entry("i-1", start(1_000), 81));
     directory.put(MonoTime::ZERO, entry("i-2", start(1_000), 82));
-    assert!(!directory.put(MonoTime::ZERO, entry("i-3", UpstreamStart::UNTOLD, 83)));
-    assert!(directory.put(MonoTime::ZERO, entry("i-2", UpstreamStart::UNTOLD, 82)));
+    assert!(!directory.put(MonoTime::ZERO, entry("i-3", UpstreamStart::UNKNOWN, 83)));
+    assert!(directory.put(MonoTime::ZERO, entry("i-2", UpstreamStart::UNKNOWN, 82)));
     assert_eq!(directory.entries().count(), 1);
     assert_eq!(port_of(&directory, "i-1"), Some(81));
 }
@@ -239,10 +239,10 @@
 fn one_that_tells_its_start_does_not_cost_the_others_their_place() {
     let mut directory = UpstreamDirectory::default();
     let mut entries = vec![entry("i-0", UpstreamStart::at_millis(1_000), 80)];
-    entries.extend((1..5).map(|n| entry(&format!("i-{n}"), UpstreamStart::UNTOLD, 80 + n)));
+    entries.extend((1..5).map(|n| entry(&format!("i-{n}"), UpstreamStart::UNKNOWN, 80 + n)));
     directory.replace(MonoTime::ZERO, entries, Reading::Complete);
     assert_eq!(directory.entries().count(), 5);
-    assert!(directory.put(MonoTime::ZERO, entry("i-5", UpstreamStart::UNTOLD, 85)));
+    assert!(directory.put(MonoTime::ZERO, entry("i-5", UpstreamStart::UNKNOWN, 85)));
 }
 
 /// An entry is written over while the store comes and goes. It does not count as
@@ -250,8 +250,8 @@
 #[test]
 fn an_entry_written_over_is_left_out_at_once() {
     let mut directory = UpstreamDirectory::default();
-    directory.put(MonoTime::ZERO, entry("i-1", UpstreamStart::UNTOLD, 81));
-    directory.store_away();
-    assert!(directory.leave_out("i-1"));
+    directory.put(MonoTime::ZERO, entry("i-1", UpstreamStart::UNKNOWN, 81));
+    directory.mark_store_unavailable();
+    assert!(directory.discard("i-1"));
     assert_eq!(directory.entries().count(), 0);
 }
--- a/crates/serving/tests/stage_world/mod.rs
+++ b/crates/serving/tests/stage_world/mod.rs
@@ -33,10 +33,10 @@
     slots: 1,
     queue: 2,
     pieces: 10,
-    call: Duration::from_millis(240),
-    piece: Duration::from_millis(20),
+    base_time: Duration::from_millis(240),
+    piece_time: Duration::from_millis(20),
     room_bytes: 2_000,
-    keep: Duration::from_secs(4),
+    result_ttl: Duration::from_secs(4),
 };
 
 pub(crate) struct World {
@@ -153,7 +153,7 @@
             self.questions += 1;
             let told = RoomReport {
                 free,
-                start: UpstreamStart::UNTOLD,
+                start: UpstreamStart::UNKNOWN,
             };
             self.desk.told_room(self.now, &question, Some(told));
         }
@@ -230,7 +230,7 @@
             let zone = if n % 2 == 1 { "a" } else { "b" };
             StageUpstream {
                 id: format_compact!("{service}-{n}"),
-                start: UpstreamStart::UNTOLD,
+                start: UpstreamStart::UNKNOWN,
                 address: SocketAddr::from(([127, 0, 0, 1], *n)),
                 zone: name(zone),
             }
--- a/crates/serving/tests/upstream_limits.rs
+++ b/crates/serving/tests/upstream_limits.rs
@@ -21,16 +21,16 @@
 
 fn heard(ms: u64, limit: Option<f64>) -> LimitNotice {
     LimitNotice {
-        start: UpstreamStart::UNTOLD,
+        start: UpstreamStart::UNKNOWN,
         limit: limit.map(rate),
-        heard: at(ms),
+        received_at: at(ms),
     }
 }
 
 fn after(notices: &[LimitNotice]) -> Option<f64> {
     let mut limits = UpstreamLimits::default();
     for notice in notices {
-        limits.take("u", *notice);
+        limits.record("u", *notice);
     }
     limits.limit("u").map(RequestRate::per_s)
 }
@@ -57,22 +57,22 @@
         ..heard(0, Some(1.0))
     };
     let mut limits = UpstreamLimits::default();
-    limits.take("u", named);
+    limits.record("u", named);
     let again = LimitNotice {
         start: start(9),
         ..heard(1, None)
     };
-    let change = limits.take("u", again);
+    let change = limits.record("u", again);
     assert_eq!(
         change, None,
         "a start that named nothing has nothing to end"
     );
     assert_eq!(limits.limit("u"), None);
-    assert_eq!(limits.take("u", named), None, "news of the earlier start");
+    assert_eq!(limits.record("u", named), None, "news of the earlier start");
     assert_eq!(limits.limit("u"), None);
 
-    limits.take("v", named);
-    limits.forget_gone(at(10), |_| Some(start(9)));
+    limits.record("v", named);
+    limits.remove_gone(at(10), |_| Some(start(9)));
     assert_eq!(limits.limit("v"), None);
 }
 
@@ -81,10 +81,10 @@
 #[test]
 fn a_limit_outlives_a_lapse_of_its_entry() {
     let mut limits = UpstreamLimits::default();
-    limits.take("u", heard(0, Some(1.0)));
-    limits.forget_gone(at(20_000), |_| None);
+    limits.record("u", heard(0, Some(1.0)));
+    limits.remove_gone(at(20_000), |_| None);
     assert_eq!(limits.limit("u"), Some(rate(1.0)));
-    limits.forget_gone(at(61_000), |_| None);
+    limits.remove_gone(at(61_000), |_| None);
     assert!(limits.is_empty());
 }
 
@@ -92,22 +92,22 @@
 #[test]
 fn what_was_heard_is_not_heard_again_by_being_passed_on() {
     let mut limits = UpstreamLimits::default();
-    limits.take("u", heard(0, Some(1.0)));
+    limits.record("u", heard(0, Some(1.0)));
     for beat in 1..100 {
-        limits.take("u", heard(beat * 3 % 50, Some(1.0)));
+        limits.record("u", heard(beat * 3 % 50, Some(1.0)));
     }
-    assert_eq!(limits.of("u").map(|n| n.heard), Some(at(0)));
+    assert_eq!(limits.notice("u").map(|n| n.received_at), Some(at(0)));
 }
 
 #[test]
 fn others_are_told_of_limits_and_of_their_end() {
     let mut limits = UpstreamLimits::default();
-    limits.take("u", heard(0, Some(1.0)));
-    limits.take("u", heard(1_000, None));
-    limits.take("v", heard(0, Some(1.0)));
-    limits.take("w", heard(0, None));
-    assert_eq!(limits.told(at(2_000)).count(), 2);
+    limits.record("u", heard(0, Some(1.0)));
+    limits.record("u", heard(1_000, None));
+    limits.record("v", heard(0, Some(1.0)));
+    limits.record("w", heard(0, None));
+    assert_eq!(limits.announced(at(2_000)).count(), 2);
     let later = at(1_000) + Duration::from_secs(30);
-    assert_eq!(limits.told(later).count(), 1);
+    assert_eq!(limits.announced(later).count(), 1);
     assert_eq!(limits.count(), 1);
 }
