--- a/crates/serving/src/scheduler_storage.rs
+++ b/crates/serving/src/scheduler_storage.rs
@@ -11,7 +11,7 @@
     pub fn storage_queries(&mut self, now: MonoTime) -> Vec<StorageQuery> {
         let mut questions = Vec::new();
         for (service, queue) in &mut self.queues {
-            let keep = queue.spec.keep;
+            let keep = queue.spec.result_ttl;
             let asked = queue.upstreams.iter_mut();
             let asked = asked.filter_map(|u| u.others.asks(now, keep).then_some(u));
             questions.extend(asked.map(|u| StorageQuery {
