--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -74,7 +74,7 @@
         if !std::mem::replace(&mut self.ran, true) {
             let now = self.state.now();
             let quarantine = &self.state.quarantine;
-            quarantine.note_ran(now, &self.service, self.content);
+            quarantine.record_completed(now, &self.service, self.content);
         }
     }
 
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -51,7 +51,7 @@
     /// Refuses the request if it ends the upstreams that run it, after so many runs of
     /// this attempt. Asked before each send, whatever way it takes.
     pub(crate) fn check_quarantine(&self, state: &State, runs: u32) -> Result<(), Refusal> {
-        let Some(left) = state.quarantine.left(state.now(), self.content) else {
+        let Some(left) = state.quarantine.time_left(state.now(), self.content) else {
             return Ok(());
         };
         let detail = "upstreams that ran this request ended, one after the other";
--- a/crates/gateway/src/crash_reporter.rs
+++ b/crates/gateway/src/crash_reporter.rs
@@ -13,8 +13,8 @@
 use jd_serving::UpstreamEnd;
 use jd_types::MonoTime;
 
-use crate::peer_quarantine::Report;
-use crate::peers::Peers;
+use crate::peer_client::PeerClient;
+use crate::peer_quarantine::RunReport;
 use crate::quarantine_coordinator::QuarantineCoordinator;
 use crate::run_events::RunEvent;
 use crate::run_events::UpstreamRef;
@@ -47,7 +47,7 @@
 #[derive(Debug)]
 pub(crate) struct CrashReporter {
     state: Arc<State>,
-    peers: Arc<Peers>,
+    peers: Arc<PeerClient>,
     coordinator: Arc<QuarantineCoordinator>,
     broken: Mutex<HashMap<UpstreamRef, Broken>>,
 }
@@ -55,7 +55,7 @@
 impl CrashReporter {
     pub(crate) fn new(
         state: Arc<State>,
-        peers: Arc<Peers>,
+        peers: Arc<PeerClient>,
         coordinator: Arc<QuarantineCoordinator>,
     ) -> CrashReporter {
         CrashReporter {
@@ -70,9 +70,9 @@
     pub(crate) async fn run(self: Arc<Self>) {
         while let Some(run_events) = self.state.quarantine.run_events.next().await {
             match run_events {
-                RunEvent::Ran(run) => self.tell(Report {
+                RunEvent::Ran(run) => self.tell(RunReport {
                     completed_runs: vec![run],
-                    ..Report::default()
+                    ..RunReport::default()
                 }),
                 RunEvent::Broke {
                     at,
@@ -85,14 +85,14 @@
     }
 
     /// Says for good which suspects ran well here.
-    pub(crate) async fn answer(self: Arc<Self>) {
+    pub(crate) async fn report_recent_runs(self: Arc<Self>) {
         loop {
-            self.state.quarantine.to_answer.given().await;
-            let completed_runs = self.state.quarantine.remembered(self.state.now());
+            self.state.quarantine.runs_wanted.given().await;
+            let completed_runs = self.state.quarantine.recent_runs(self.state.now());
             if !completed_runs.is_empty() {
-                self.tell(Report {
+                self.tell(RunReport {
                     completed_runs,
-                    ..Report::default()
+                    ..RunReport::default()
                 });
             }
         }
@@ -143,7 +143,7 @@
             "runs broke at an upstream"
         );
         if seen == Seen::Ended {
-            self.tell(Report {
+            self.tell(RunReport {
                 ends: vec![UpstreamEnd {
                     service: upstream.service,
                     upstream: upstream.upstream,
@@ -151,7 +151,7 @@
                     at: broken.at,
                     runs: broken.runs,
                 }],
-                ..Report::default()
+                ..RunReport::default()
             });
         }
     }
@@ -177,17 +177,17 @@
         }
     }
 
-    fn tell(self: &Arc<Self>, report: Report) {
+    fn tell(self: &Arc<Self>, report: RunReport) {
         let coordinators = self.state.coordinators().into_iter().take(COORDINATORS);
         for coordinator in coordinators {
             if coordinator == self.state.me.peers {
-                self.coordinator.take(report.clone());
+                self.coordinator.record_report(report.clone());
                 continue;
             }
             let reporter = Arc::clone(self);
             let report = report.clone();
             let telling = async move {
-                if !reporter.peers.report(coordinator, &report).await {
+                if !reporter.peers.report_crashes(coordinator, &report).await {
                     log::info!(coordinator:% = coordinator; "a coordinator of the quarantine does not answer; others are told as well");
                 }
             };
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -28,22 +28,22 @@
 use crate::front::Front;
 use crate::peer_api::PeerApi;
 use crate::peer_api::PeerHandler;
-use crate::peers::Peers;
+use crate::peer_client::PeerClient;
 use crate::quarantine_coordinator::QuarantineCoordinator;
 use crate::result_free::ResultFree;
 use crate::result_release::ResultRelease;
+use crate::revision_poller::RevisionPoller;
 use crate::service_apis::LocateApi;
 use crate::service_apis::MetricsApi;
 use crate::service_apis::ReadyApi;
 use crate::stage_batches::StageBatches;
 use crate::stage_runner::StageRunner;
 use crate::state::State;
+use crate::store_applier::StoreApplier;
 use crate::store_call::StoreCallCounts;
 use crate::store_follower::StoreFollower;
-use crate::store_intake::StoreIntake;
 use crate::store_lease::StoreLease;
 use crate::store_link::StoreLink;
-use crate::store_proof::StoreProof;
 use crate::store_reader::StoreReader;
 
 /// The part of the grace in which new callers are still taken, in hundredths:
@@ -105,7 +105,7 @@
         let free = Arc::new(ResultFree::new(Arc::clone(&state)));
         let batches = StageBatches::new(Arc::clone(&state), Arc::clone(&free));
         let batches = Arc::new(batches);
-        let peers = Arc::new(Peers::new(Arc::clone(&state)));
+        let peers = Arc::new(PeerClient::new(Arc::clone(&state)));
         let release = Arc::new(ResultRelease {
             state: Arc::clone(&state),
             batches: Arc::clone(&batches),
@@ -134,20 +134,20 @@
         let lease = Arc::new(StoreLease {
             link: Arc::clone(&link),
         });
-        let proof = Arc::new(StoreProof {
+        let poller = Arc::new(RevisionPoller {
             link: Arc::clone(&link),
         });
-        let intake = Arc::new(StoreIntake {
+        let applier = Arc::new(StoreApplier {
             state: Arc::clone(&state),
             store,
         });
         let reader = StoreReader {
             link: Arc::clone(&link),
-            intake: Arc::clone(&intake),
+            applier: Arc::clone(&applier),
         };
         let follower = Arc::new(StoreFollower {
             link,
-            intake,
+            applier,
             reader,
             peers: Arc::clone(&peers),
         });
@@ -181,23 +181,23 @@
             listen(&state, s.peers, own, Arc::new(PeerHandler::new(peer_api)))?,
         ];
         let following = follow_limits(Arc::clone(&state), Arc::clone(&callers));
-        let reporting = Arc::clone(&lease.link).report();
+        let reporting = Arc::clone(&lease.link).log_call_counts();
         let tasks = vec![
             executor.spawn(following),
             executor.spawn(Arc::clone(&follower).follow()),
-            executor.spawn(Arc::clone(&follower).catch_up()),
-            executor.spawn(follower.expire()),
-            executor.spawn(proof.keep()),
-            executor.spawn(Arc::clone(&lease).keep()),
+            executor.spawn(Arc::clone(&follower).fetch_newer_deployment()),
+            executor.spawn(follower.expire_entries()),
+            executor.spawn(poller.run()),
+            executor.spawn(Arc::clone(&lease).keep_registered()),
             executor.spawn(Arc::clone(&lease).remove_silent()),
             executor.spawn(reporting),
-            executor.spawn(peers.beat()),
+            executor.spawn(peers.send_heartbeats()),
             executor.spawn(batches.tick()),
             executor.spawn(release.run()),
             executor.spawn(free.run()),
             executor.spawn(coordinator.run()),
             executor.spawn(Arc::clone(&reporter).run()),
-            executor.spawn(reporter.answer()),
+            executor.spawn(reporter.report_recent_runs()),
         ];
         log::info!(
             instance = state.settings.name.as_str(),
--- a/crates/gateway/src/limiters.rs
+++ b/crates/gateway/src/limiters.rs
@@ -50,7 +50,12 @@
 impl Limiters {
     /// Decides here on a permit for an upstream, by its identity. One that names no limit
     /// any more needs none.
-    pub(crate) fn acquire(&self, state: &State, id: &str, priority: u8) -> Result<(), Duration> {
+    pub(crate) fn acquire_local(
+        &self,
+        state: &State,
+        id: &str,
+        priority: u8,
+    ) -> Result<(), Duration> {
         let now = state.now();
         let Some(rate) = state.limits.limit(id) else {
             return Ok(());
@@ -81,7 +86,7 @@
 
     /// Asks the instance that gives out permits for an upstream; how long until a turn
     /// comes, if it has none.
-    pub(crate) async fn ask(
+    pub(crate) async fn acquire(
         &self,
         state: &State,
         upstream: &UpstreamRef,
@@ -91,16 +96,16 @@
         let order = state.owner_order(&shard_of(upstream.address));
         for limiter in order {
             if limiter == state.me.peers {
-                return self.acquire(state, &upstream.upstream, priority);
+                return self.acquire_local(state, &upstream.upstream, priority);
             }
             if self.is_silent(state.now(), limiter) {
                 continue;
             }
-            let channel = state.channels.to(limiter);
+            let channel = state.channels.channel_to(limiter);
             let mut client = GatewayClient::new(channel.clone());
             let req = peer_limits::permit_request(upstream, notice, priority, state.now());
             match within(ASK_WITHIN, client.acquire_permit(req)).await {
-                Some(Ok(reply)) => return peer_limits::decision_of(state, reply.into_inner()),
+                Some(Ok(reply)) => return peer_limits::permit_decision(state, reply.into_inner()),
                 Some(Err(_)) => {}
                 // The connection may be silent for good while new ones work.
                 None => channel.reset(),
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -51,7 +51,7 @@
     }
 
     /// Reads what an answer of an upstream says of its limit.
-    pub(crate) fn note_answer(
+    pub(crate) fn record_answer(
         &self,
         now: MonoTime,
         upstream: &UpstreamRef,
@@ -67,7 +67,7 @@
                     limit,
                     heard: now,
                 };
-                self.take(now, &upstream.upstream, said, LimitSource::Answer, metrics);
+                self.record(now, &upstream.upstream, said, LimitSource::Answer, metrics);
             }
             Err(e) => {
                 let mut last = lock(&self.unreadable);
@@ -86,11 +86,11 @@
 
     /// The limit that an upstream names.
     pub(crate) fn limit(&self, id: &str) -> Option<RequestRate> {
-        self.of(id)?.limit
+        self.notice(id)?.limit
     }
 
     /// What was last heard of an upstream's limit that counts.
-    pub(crate) fn of(&self, id: &str) -> Option<LimitNotice> {
+    pub(crate) fn notice(&self, id: &str) -> Option<LimitNotice> {
         match self.any() {
             true => lock(&self.known).of(id),
             false => None,
@@ -98,7 +98,7 @@
     }
 
     /// What others are told.
-    pub(crate) fn told(&self, now: MonoTime) -> Vec<(CompactString, LimitNotice)> {
+    pub(crate) fn notices(&self, now: MonoTime) -> Vec<(CompactString, LimitNotice)> {
         if !self.any() {
             return Vec::new();
         }
@@ -123,7 +123,7 @@
     }
 
     /// Takes in what an upstream said, and tells others of it if that is news.
-    pub(crate) fn take(
+    pub(crate) fn record(
         &self,
         now: MonoTime,
         id: &str,
--- a/crates/gateway/src/notices.rs
+++ b/crates/gateway/src/notices.rs
@@ -96,7 +96,7 @@
     }
     state
         .limits
-        .note_answer(now, upstream, dialect, headers, &state.metrics);
+        .record_answer(now, upstream, dialect, headers, &state.metrics);
     if dialect.says_leaving(headers) && !upstream.upstream.is_empty() {
         note_leaving(state, upstream);
     }
--- a/crates/gateway/src/peer_api.rs
+++ b/crates/gateway/src/peer_api.rs
@@ -32,10 +32,10 @@
 
 use crate::peer_instance;
 use crate::peer_limits;
-use crate::peer_news;
 use crate::peer_quarantine;
+use crate::peer_replication;
 use crate::peer_stages;
-use crate::quarantine::Source;
+use crate::quarantine::QuarantineSource;
 use crate::quarantine_coordinator::QuarantineCoordinator;
 use crate::stage_batches::StageBatches;
 use crate::state::State;
@@ -57,8 +57,10 @@
         let beat = req.into_inner();
         let now = self.state.now();
         let told = peer_quarantine::quarantine_of(beat.quarantine);
-        self.state.quarantine.take(now, Source::Beat, told);
-        peer_limits::take(&self.state, beat.limits);
+        self.state
+            .quarantine
+            .apply(now, QuarantineSource::Beat, told);
+        peer_limits::record(&self.state, beat.limits);
         let from = Incarnation::new(beat.incarnation);
         self.state.knowledge().instances.heard(
             now,
@@ -89,12 +91,12 @@
             incarnation: self.state.me.incarnation.get(),
             leaving: self.state.is_leaving(),
             ready: self.state.is_ready(),
-            proof: peer_news::wire_proof(&self.state),
+            proof: peer_replication::wire_proof(&self.state),
             backlogs: backlogs.collect(),
             unlisted,
             has_read: self.state.has_read(),
             quarantine: peer_quarantine::wire_quarantine(&self.state.quarantine, now),
-            limits: peer_limits::told(&self.state),
+            limits: peer_limits::wire_limits(&self.state),
             version: self.state.knowledge().deployment_version(),
         }))
     }
@@ -103,7 +105,7 @@
         &self,
         req: tonic::Request<FollowRequest>,
     ) -> Result<tonic::Response<FollowReply>, Status> {
-        let reply = peer_news::answer(&self.state, req.into_inner()).await;
+        let reply = peer_replication::handle_follow(&self.state, req.into_inner()).await;
         Ok(tonic::Response::new(reply))
     }
 
@@ -112,7 +114,7 @@
         req: tonic::Request<CrashReport>,
     ) -> Result<tonic::Response<CrashReportReply>, Status> {
         let report = peer_quarantine::report_of(req.into_inner(), self.state.now());
-        self.coordinator.take(report);
+        self.coordinator.record_report(report);
         Ok(tonic::Response::new(CrashReportReply {}))
     }
 
@@ -120,7 +122,7 @@
         &self,
         req: tonic::Request<PermitRequest>,
     ) -> Result<tonic::Response<PermitReply>, Status> {
-        let reply = peer_limits::answer(&self.state, req.into_inner());
+        let reply = peer_limits::handle_permit_request(&self.state, req.into_inner());
         Ok(tonic::Response::new(reply))
     }
 
--- a/crates/gateway/src/peer_channels.rs
+++ b/crates/gateway/src/peer_channels.rs
@@ -26,7 +26,7 @@
     }
 
     /// The connection to the instance at an address.
-    pub(crate) fn to(&self, address: SocketAddr) -> GrpcChannel {
+    pub(crate) fn channel_to(&self, address: SocketAddr) -> GrpcChannel {
         let mut open = lock(&self.open);
         let channel = open
             .entry(address)
@@ -35,7 +35,7 @@
     }
 
     /// Closes the connections to all but these instances.
-    pub(crate) fn keep(&self, peers: &[InstanceEntry]) {
+    pub(crate) fn retain(&self, peers: &[InstanceEntry]) {
         lock(&self.open).retain(|address, _| peers.iter().any(|p| p.peers == *address));
     }
 }
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peer_client.rs
@@ -26,12 +26,12 @@
 
 use crate::peer_instance;
 use crate::peer_limits;
-use crate::peer_news;
-use crate::peer_news::Heard;
 use crate::peer_quarantine;
-use crate::peer_quarantine::Report;
+use crate::peer_quarantine::RunReport;
+use crate::peer_replication;
+use crate::peer_replication::SourceReply;
 use crate::peer_stages;
-use crate::quarantine::Source;
+use crate::quarantine::QuarantineSource;
 use crate::state::State;
 
 /// How often an instance tells the others that it is there. Three beats fit
@@ -51,17 +51,17 @@
 
 /// What this instance says to others.
 #[derive(Debug)]
-pub(crate) struct Peers {
+pub(crate) struct PeerClient {
     state: Arc<State>,
 }
 
-impl Peers {
-    pub(crate) fn new(state: Arc<State>) -> Peers {
-        Peers { state }
+impl PeerClient {
+    pub(crate) fn new(state: Arc<State>) -> PeerClient {
+        PeerClient { state }
     }
 
     /// Tells all other instances for good that this one is there.
-    pub(crate) async fn beat(self: Arc<Self>) {
+    pub(crate) async fn send_heartbeats(self: Arc<Self>) {
         let mut firsts: BTreeMap<Shard, SocketAddr> = BTreeMap::new();
         loop {
             self.note_owners(&mut firsts);
@@ -69,7 +69,7 @@
                 let knowledge = self.state.knowledge();
                 knowledge.instances.entries().cloned().collect()
             };
-            self.state.channels.keep(&all);
+            self.state.channels.retain(&all);
             let pause = match all.is_empty() {
                 true => BEAT_FIRST,
                 false => BEAT_EVERY,
@@ -110,7 +110,7 @@
         job: &StageJob,
     ) -> Option<Result<Vec<CompactString>, JobFailure>> {
         let now = self.state.now();
-        let mut client = GatewayClient::new(self.state.channels.to(owner));
+        let mut client = GatewayClient::new(self.state.channels.channel_to(owner));
         let asked = peer_stages::stages_request(job, shard, now);
         let reply = client.run_stages(asked).await.ok()?.into_inner();
         Some(peer_stages::outcome_of(reply))
@@ -123,7 +123,7 @@
         owner: SocketAddr,
         handles: &[CompactString],
     ) -> bool {
-        let mut client = GatewayClient::new(self.state.channels.to(owner));
+        let mut client = GatewayClient::new(self.state.channels.channel_to(owner));
         let release = ReleaseRequest {
             results: handles.iter().map(CompactString::to_string).collect(),
         };
@@ -133,8 +133,8 @@
 
     /// Tells what was seen of runs to a coordinator of the quarantine; false if it does not
     /// answer.
-    pub(crate) async fn report(&self, coordinator: SocketAddr, report: &Report) -> bool {
-        let mut client = GatewayClient::new(self.state.channels.to(coordinator));
+    pub(crate) async fn report_crashes(&self, coordinator: SocketAddr, report: &RunReport) -> bool {
+        let mut client = GatewayClient::new(self.state.channels.channel_to(coordinator));
         let told = peer_quarantine::wire_report(report, self.state.now());
         let told = within(BEAT_WITHIN, client.report_crashes(told)).await;
         matches!(told, Some(Ok(_)))
@@ -142,13 +142,13 @@
 
     /// Hears another instance's news of the store, or after `wait` that there is
     /// none; none if it does not answer.
-    pub(crate) async fn follow(&self, id: Incarnation, wait: Duration) -> Option<Heard> {
-        let asked = peer_news::question(&self.state, id, wait);
+    pub(crate) async fn follow(&self, id: Incarnation, wait: Duration) -> Option<SourceReply> {
+        let asked = peer_replication::follow_request(&self.state, id, wait);
         self.ask(id, asked, wait).await
     }
 
     /// Hears all that another instance knows of the store; none if it does not answer.
-    pub(crate) async fn hear_all(&self, id: Incarnation) -> Option<Heard> {
+    pub(crate) async fn fetch_all(&self, id: Incarnation) -> Option<SourceReply> {
         let asked = FollowRequest {
             takes_parts: true,
             ..FollowRequest::default()
@@ -158,7 +158,11 @@
 
     /// Hears all that the instance at an address knows of the store, or after `wait` that
     /// it knows nothing; none if it does not answer.
-    pub(crate) async fn hear_first(&self, source: SocketAddr, wait: Duration) -> Option<Heard> {
+    pub(crate) async fn fetch_all_at(
+        &self,
+        source: SocketAddr,
+        wait: Duration,
+    ) -> Option<SourceReply> {
         let asked = FollowRequest {
             takes_parts: true,
             wait_ms: u32::try_from(wait.as_millis()).unwrap_or(u32::MAX),
@@ -167,7 +171,12 @@
         self.ask_at(source, asked, wait).await
     }
 
-    async fn ask(&self, id: Incarnation, asked: FollowRequest, wait: Duration) -> Option<Heard> {
+    async fn ask(
+        &self,
+        id: Incarnation,
+        asked: FollowRequest,
+        wait: Duration,
+    ) -> Option<SourceReply> {
         self.ask_at(self.address_of(id)?, asked, wait).await
     }
 
@@ -176,8 +185,8 @@
         source: SocketAddr,
         mut asked: FollowRequest,
         wait: Duration,
-    ) -> Option<Heard> {
-        let channel = self.state.channels.to(source);
+    ) -> Option<SourceReply> {
+        let channel = self.state.channels.channel_to(source);
         let mut client = GatewayClient::new(channel.clone());
         let mut parts = PackedParts::default();
         let mut patience = wait + BEAT_WITHIN;
@@ -189,7 +198,7 @@
                 return None;
             };
             match parts.take(&asked, reply.ok()?.into_inner()) {
-                PartsTaken::Whole(reply) => return peer_news::heard(sent, *reply),
+                PartsTaken::Whole(reply) => return peer_replication::decode_reply(sent, *reply),
                 PartsTaken::Asks(next) => asked = next,
                 PartsTaken::Refused => {
                     log::error!(source:%; "parts of another instance's records cannot be put together; it is asked anew");
@@ -217,7 +226,7 @@
     }
 
     async fn beat_one(&self, peer: &InstanceEntry) {
-        let channel = self.state.channels.to(peer.peers);
+        let channel = self.state.channels.channel_to(peer.peers);
         let mut client = GatewayClient::new(channel.clone());
         let beat = BeatRequest {
             incarnation: self.state.me.incarnation.get(),
@@ -225,7 +234,7 @@
             ready: self.state.is_ready(),
             has_read: self.state.has_read(),
             quarantine: peer_quarantine::wire_quarantine(&self.state.quarantine, self.state.now()),
-            limits: peer_limits::told(&self.state),
+            limits: peer_limits::wire_limits(&self.state),
         };
         let sent = self.state.now();
         match within(BEAT_WITHIN, client.beat(beat)).await {
@@ -239,13 +248,17 @@
     fn take_reply(&self, peer: &InstanceEntry, sent: MonoTime, reply: BeatReply) {
         let now = self.state.now();
         let told = peer_quarantine::quarantine_of(reply.quarantine);
-        self.state.quarantine.take(now, Source::Beat, told);
-        peer_limits::take(&self.state, reply.limits);
+        self.state
+            .quarantine
+            .apply(now, QuarantineSource::Beat, told);
+        peer_limits::record(&self.state, reply.limits);
         let mut knowledge = self.state.knowledge();
         // The reply was made after the beat was sent, so the question that it
         // tells of was put at that moment less its age or later.
         if let Some(proof) = reply.proof {
-            knowledge.freshness.adopt(peer_news::proof_at(sent, proof));
+            knowledge
+                .freshness
+                .adopt(peer_replication::proof_at(sent, proof));
         }
         for backlog in reply.backlogs {
             let wait = Duration::from_millis(u64::from(backlog.wait_ms));
--- a/crates/gateway/src/peer_limits.rs
+++ b/crates/gateway/src/peer_limits.rs
@@ -18,9 +18,9 @@
 const MOST_TOLD: usize = 256;
 
 /// What this instance has heard of limits, for a heartbeat.
-pub(crate) fn told(state: &State) -> Vec<UpstreamLimit> {
+pub(crate) fn wire_limits(state: &State) -> Vec<UpstreamLimit> {
     let now = state.now();
-    let mut told = state.limits.told(now);
+    let mut told = state.limits.notices(now);
     told.sort_unstable_by_key(|(_, notice)| now.since(notice.heard));
     told.truncate(MOST_TOLD);
     let told = told.into_iter();
@@ -29,13 +29,13 @@
 }
 
 /// Takes in what another instance has heard.
-pub(crate) fn take(state: &State, told: impl IntoIterator<Item = UpstreamLimit>) {
+pub(crate) fn record(state: &State, told: impl IntoIterator<Item = UpstreamLimit>) {
     let now = state.now();
     for limit in told {
         match notice_of(&limit, now) {
             Some(notice) => {
                 let limits = &state.limits;
-                limits.take(
+                limits.record(
                     now,
                     &limit.upstream,
                     notice,
@@ -64,15 +64,17 @@
 }
 
 /// Decides on a permit that another instance asks for.
-pub(crate) fn answer(state: &State, req: PermitRequest) -> PermitReply {
+pub(crate) fn handle_permit_request(state: &State, req: PermitRequest) -> PermitReply {
     let now = state.now();
     let priority = u8::try_from(req.priority).unwrap_or(u8::MAX);
     let Some(asked) = req.limit else {
         return PermitReply::default();
     };
-    take(state, [asked.clone()]);
-    let decided = state.limiters.acquire(state, &asked.upstream, priority);
-    let notice = state.limits.of(&asked.upstream);
+    record(state, [asked.clone()]);
+    let decided = state
+        .limiters
+        .acquire_local(state, &asked.upstream, priority);
+    let notice = state.limits.notice(&asked.upstream);
     let wait = decided.err().unwrap_or_default();
     PermitReply {
         granted: decided.is_ok(),
@@ -82,8 +84,8 @@
 }
 
 /// The decision that a message tells.
-pub(crate) fn decision_of(state: &State, reply: PermitReply) -> Result<(), Duration> {
-    take(state, reply.limit);
+pub(crate) fn permit_decision(state: &State, reply: PermitReply) -> Result<(), Duration> {
+    record(state, reply.limit);
     match reply.granted {
         true => Ok(()),
         false => Err(Duration::from_millis(u64::from(reply.wait_ms))),
--- a/crates/gateway/src/peer_quarantine.rs
+++ b/crates/gateway/src/peer_quarantine.rs
@@ -17,17 +17,17 @@
 use jd_wire::UpstreamEnd as WireEnd;
 
 use crate::quarantine::Quarantine;
-use crate::quarantine::Told;
+use crate::quarantine::QuarantineUpdate;
 
 /// What one instance tells the coordinators.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Report {
+pub(crate) struct RunReport {
     pub(crate) ends: Vec<UpstreamEnd>,
     pub(crate) completed_runs: Vec<CompletedRun>,
 }
 
 /// The message that tells it; times are counted back from `now`.
-pub(crate) fn wire_report(report: &Report, now: MonoTime) -> CrashReport {
+pub(crate) fn wire_report(report: &RunReport, now: MonoTime) -> CrashReport {
     let ends = report.ends.iter().map(|end| WireEnd {
         service: end.service.to_string(),
         upstream: end.upstream.to_string(),
@@ -54,7 +54,7 @@
 }
 
 /// What such a message says, now.
-pub(crate) fn report_of(req: CrashReport, now: MonoTime) -> Report {
+pub(crate) fn report_of(req: CrashReport, now: MonoTime) -> RunReport {
     let ago = |ms: u32| now.before(Duration::from_millis(u64::from(ms)));
     let run_of = |run: WireRun| BrokenRun {
         content: Content::from_number(run.content),
@@ -75,7 +75,7 @@
         content: Content::from_number(run.content),
         at: ago(run.ended_ms_ago),
     });
-    Report {
+    RunReport {
         ends: ends.collect(),
         completed_runs: completed_runs.collect(),
     }
@@ -99,7 +99,7 @@
 
 /// What a heartbeat holds against requests; what a later version says and this one does
 /// not know is left out.
-pub(crate) fn quarantine_of(told: Vec<WireQuarantine>) -> impl Iterator<Item = Told> {
+pub(crate) fn quarantine_of(told: Vec<WireQuarantine>) -> impl Iterator<Item = QuarantineUpdate> {
     told.into_iter().filter_map(|t| {
         let phase = match t.phase {
             1 => QuarantinePhase::Suspected,
@@ -111,7 +111,7 @@
             round: t.round,
             phase,
         };
-        Some(Told {
+        Some(QuarantineUpdate {
             content: Content::from_number(t.content),
             state,
             left: Duration::from_millis(u64::from(t.lapses_in_ms)),
--- a/crates/gateway/src/peer_news.rs
+++ b/crates/gateway/src/peer_replication.rs
@@ -31,7 +31,7 @@
 
 /// What another instance knows of the store.
 #[derive(Debug)]
-pub(crate) struct Heard {
+pub(crate) struct SourceReply {
     /// In the order in which it is to be taken in.
     pub(crate) news: Vec<News>,
     pub(crate) proof: Option<Proof>,
@@ -40,7 +40,7 @@
 }
 
 /// The question for another's news, by what is known here.
-pub(crate) fn question(state: &State, id: Incarnation, wait: Duration) -> FollowRequest {
+pub(crate) fn follow_request(state: &State, id: Incarnation, wait: Duration) -> FollowRequest {
     let now = state.now();
     let knowledge = state.knowledge();
     let after = knowledge.mirror.revision();
@@ -58,7 +58,7 @@
 }
 
 /// Reads the answer to a question that was sent at `sent`; none if it is damaged.
-pub(crate) fn heard(sent: MonoTime, reply: FollowReply) -> Option<Heard> {
+pub(crate) fn decode_reply(sent: MonoTime, reply: FollowReply) -> Option<SourceReply> {
     // The question came after it was sent and was answered that much later, so
     // what the proof tells of was asked then less its age or later.
     let answered = sent + Duration::from_millis(u64::from(reply.waited_ms));
@@ -81,7 +81,7 @@
         items: items_of(reply.items),
         revision: at(reply.era, reply.revision),
     };
-    Some(Heard {
+    Some(SourceReply {
         news: all.into_iter().chain([newer]).collect(),
         proof: reply.proof.map(|p| proof_at(answered, p)),
         store_away: reply.store_away,
@@ -111,17 +111,17 @@
 
 /// All records, packed once for many.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct PackedNews {
+pub(crate) struct PackedSnapshot {
     revision: StoreRevision,
     bytes: Bytes,
 }
 
 /// What is told to instances that start.
 #[derive(Debug, Default)]
-pub(crate) struct PackedPieces {
-    latest: PackedNews,
+pub(crate) struct PackedSnapshots {
+    latest: PackedSnapshot,
     /// The one before, for those that have a part of it.
-    earlier: PackedNews,
+    earlier: PackedSnapshot,
 }
 
 /// All records, packed, for somebody who knows only what was up to `after`; none if
@@ -131,14 +131,14 @@
 /// megabyte from the store, 2.7 s of its link at 300 instances.
 ///
 /// One who `has` a part of the piece that was packed before is told the rest of it.
-fn packed(state: &State, after: StoreRevision, has: StoreRevision) -> Option<PackedNews> {
+fn packed(state: &State, after: StoreRevision, has: StoreRevision) -> Option<PackedSnapshot> {
     let mut pieces = lock(&state.packed);
     let knowledge = state.knowledge();
     let mirror = &knowledge.mirror;
     if mirror.revision() == StoreRevision::NOTHING || !mirror.is_behind(after) {
         return None;
     }
-    let PackedPieces { latest, earlier } = &*pieces;
+    let PackedSnapshots { latest, earlier } = &*pieces;
     if has == earlier.revision && !earlier.bytes.is_empty() && !mirror.is_behind(has) {
         return Some(earlier.clone());
     }
@@ -151,7 +151,7 @@
         drop(knowledge);
         match jd_wire::pack(wire_items(all.items)) {
             Ok(bytes) => {
-                let latest = PackedNews {
+                let latest = PackedSnapshot {
                     revision: all.revision,
                     bytes: bytes.into(),
                 };
@@ -171,7 +171,7 @@
 ///
 /// Guards against a chain of instances that have all lost it: each was asked in turn and
 /// told after the whole wait, so that a zone was five seconds behind the store.
-pub(crate) async fn answer(state: &State, req: FollowRequest) -> FollowReply {
+pub(crate) async fn handle_follow(state: &State, req: FollowRequest) -> FollowReply {
     let came = state.now();
     if at(req.after_era, req.after) == StoreRevision::NOTHING && !state.has_read() {
         state.all_wanted.give();
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -20,7 +20,7 @@
 
 /// From whom a state was heard.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Source {
+pub(crate) enum QuarantineSource {
     /// Decided here.
     Own,
     /// Another instance's heartbeat.
@@ -31,7 +31,7 @@
 
 /// The state of a request as it is told.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Told {
+pub(crate) struct QuarantineUpdate {
     pub(crate) content: Content,
     pub(crate) state: QuarantineState,
     /// Until it lapses.
@@ -47,7 +47,7 @@
     /// Signals that others are to be told at once, and that who remembers a run of a
     /// suspect is to say so.
     to_tell: Arc<Signal>,
-    pub(crate) to_answer: Signal,
+    pub(crate) runs_wanted: Signal,
 }
 
 impl Quarantine {
@@ -57,12 +57,12 @@
             recent: Mutex::default(),
             run_events: RunEvents::new(),
             to_tell,
-            to_answer: Signal::new(),
+            runs_wanted: Signal::new(),
         }
     }
 
     /// For how long a request is kept from upstreams; none if it is not.
-    pub(crate) fn left(&self, now: MonoTime, content: Content) -> Option<Duration> {
+    pub(crate) fn time_left(&self, now: MonoTime, content: Content) -> Option<Duration> {
         let list = self.list.load();
         match list.is_empty() {
             true => None,
@@ -75,7 +75,12 @@
     }
 
     /// Takes in what is told.
-    pub(crate) fn take(&self, now: MonoTime, source: Source, told: impl IntoIterator<Item = Told>) {
+    pub(crate) fn apply(
+        &self,
+        now: MonoTime,
+        source: QuarantineSource,
+        told: impl IntoIterator<Item = QuarantineUpdate>,
+    ) {
         for t in told {
             let known = self.list.load().of(now, t.content);
             if known.is_some_and(|h| h.state >= t.state) {
@@ -88,7 +93,7 @@
                 next
             });
             if is_news {
-                self.to_answer.give();
+                self.runs_wanted.give();
                 self.to_tell.give();
             }
             // Suspicions are logged where they arise: there can be many.
@@ -106,7 +111,7 @@
     }
 
     /// The store has this of a request; none if nothing any more.
-    pub(crate) fn note_stored(&self, content: Content, state: Option<QuarantineState>) {
+    pub(crate) fn set_stored(&self, content: Content, state: Option<QuarantineState>) {
         self.list.rcu(|s| {
             let mut next = QuarantineList::clone(s);
             next.stored(content, state);
@@ -115,7 +120,7 @@
     }
 
     /// The store has something of these requests and of no others.
-    pub(crate) fn relist(&self, stored: &[Content]) {
+    pub(crate) fn retain_stored(&self, stored: &[Content]) {
         if self.list.load().is_empty() {
             return;
         }
@@ -127,7 +132,7 @@
     }
 
     /// A request ran to its end at a service.
-    pub(crate) fn note_ran(&self, now: MonoTime, service: &str, content: Content) {
+    pub(crate) fn record_completed(&self, now: MonoTime, service: &str, content: Content) {
         lock(&self.recent).note(now, service, content);
         let held = self.list.load().of(now, content);
         if held.is_some_and(|h| h.state.is_open()) {
@@ -140,7 +145,7 @@
     }
 
     /// What ran well here lately of that against which something is held.
-    pub(crate) fn remembered(&self, now: MonoTime) -> Vec<CompletedRun> {
+    pub(crate) fn recent_runs(&self, now: MonoTime) -> Vec<CompletedRun> {
         let list = self.list.load();
         let open = list.all(now).filter(|(_, h)| h.state.is_open());
         let recent = lock(&self.recent);
--- a/crates/gateway/src/quarantine_coordinator.rs
+++ b/crates/gateway/src/quarantine_coordinator.rs
@@ -20,12 +20,12 @@
 
 use crate::QuarantineRecord;
 use crate::StoreError;
-use crate::peer_quarantine::Report;
-use crate::quarantine::Source;
-use crate::quarantine::Told;
+use crate::peer_quarantine::RunReport;
+use crate::quarantine::QuarantineSource;
+use crate::quarantine::QuarantineUpdate;
 use crate::signal::Signal;
 use crate::store_call::StoreCall;
-use crate::store_link::CALL_WITHIN;
+use crate::store_link::CALL_TIMEOUT;
 use crate::store_link::StoreLink;
 
 /// How often it is looked whether time has brought a finding.
@@ -60,7 +60,7 @@
     }
 
     /// Takes in what an instance saw.
-    pub(crate) fn take(&self, report: Report) {
+    pub(crate) fn record_report(&self, report: RunReport) {
         let state = &self.link.state;
         let now = state.now();
         let mut evidence = lock(&self.evidence);
@@ -198,14 +198,14 @@
     }
 
     fn decide(&self, now: MonoTime, content: Content, next: QuarantineState, left: Duration) {
-        let told = Told {
+        let told = QuarantineUpdate {
             content,
             state: next,
             left,
         };
         let state = &self.link.state;
         state.metrics.quarantine(next.phase.as_str());
-        state.quarantine.take(now, Source::Own, [told]);
+        state.quarantine.apply(now, QuarantineSource::Own, [told]);
     }
 
     /// Has the store keep what it does not have, for as long as that is held.
@@ -231,7 +231,7 @@
         let left = held.lapses.since(now);
         let StoreLink { state, store, .. } = &*self.link;
         let taking = store.lease(left);
-        let lease = self.link.call(StoreCall::Lease, CALL_WITHIN, taking);
+        let lease = self.link.call(StoreCall::Lease, CALL_TIMEOUT, taking);
         let lease = lease.await?;
         let record = QuarantineRecord {
             content,
@@ -241,9 +241,9 @@
         let writing = store.write_quarantine(&record, lease);
         let written = self
             .link
-            .call(StoreCall::WriteQuarantine, CALL_WITHIN, writing);
+            .call(StoreCall::WriteQuarantine, CALL_TIMEOUT, writing);
         written.await?;
-        state.quarantine.note_stored(content, Some(held.state));
+        state.quarantine.set_stored(content, Some(held.state));
         Ok(())
     }
 }
--- a/crates/gateway/src/result_free.rs
+++ b/crates/gateway/src/result_free.rs
@@ -19,7 +19,7 @@
 /// time after which upstreams drop them by themselves.
 const GATHER: Duration = Duration::from_millis(60);
 /// How long such a call may take.
-const CALL_WITHIN: Duration = Duration::from_millis(100);
+const CALL_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Tells upstreams which results nobody needs any more.
 ///
@@ -91,7 +91,7 @@
             return false;
         };
         let req = state.dialect.free_request(handles);
-        let sending = state.gate.send(state, permit, req, CALL_WITHIN, || {});
+        let sending = state.gate.send(state, permit, req, CALL_TIMEOUT, || {});
         match sending.await {
             // Read to its end, so that the connection can be used again.
             Ok(response) => response.whole(1 << 16).await.is_ok(),
--- a/crates/gateway/src/result_release.rs
+++ b/crates/gateway/src/result_release.rs
@@ -10,7 +10,7 @@
 use compact_str::CompactString;
 use jd_net::lock;
 
-use crate::peers::Peers;
+use crate::peer_client::PeerClient;
 use crate::result_free::ResultFree;
 use crate::stage_batches::StageBatches;
 use crate::state::State;
@@ -25,7 +25,7 @@
 pub(crate) struct ResultRelease {
     pub(crate) state: Arc<State>,
     pub(crate) batches: Arc<StageBatches>,
-    pub(crate) peers: Arc<Peers>,
+    pub(crate) peers: Arc<PeerClient>,
     pub(crate) free: Arc<ResultFree>,
     pub(crate) gathered: Mutex<HashMap<SocketAddr, Vec<CompactString>>>,
 }
--- a/crates/gateway/src/store_proof.rs
+++ b/crates/gateway/src/revision_poller.rs
@@ -9,7 +9,7 @@
 use crate::StoreError;
 use crate::store_call::StoreCall;
 use crate::store_link::StoreLink;
-use crate::store_link::patience;
+use crate::store_link::call_timeout;
 
 /// Pause after a first failed question, and what each further one makes of it. Callers
 /// who show credentials are refused from a few seconds into an absence until this
@@ -21,14 +21,14 @@
 
 /// Asks for the store's revision: the proof that nothing in force is missing.
 #[derive(Debug)]
-pub(crate) struct StoreProof {
+pub(crate) struct RevisionPoller {
     pub(crate) link: Arc<StoreLink>,
 }
 
-impl StoreProof {
+impl RevisionPoller {
     /// Asks again and again while this instance hears the store itself; one that
     /// follows another has its proof from there. Another's proof does as well.
-    pub(crate) async fn keep(self: Arc<Self>) {
+    pub(crate) async fn run(self: Arc<Self>) {
         let StoreLink { state, store, .. } = &*self.link;
         let mut failures: u32 = 0;
         loop {
@@ -47,21 +47,22 @@
             }
             let asked = state.now();
             let asking = store.revision();
-            let patience = patience(failures);
+            let patience = call_timeout(failures);
             match self.link.call(StoreCall::Confirm, patience, asking).await {
                 Ok(revision) if revision.era < state.knowledge().mirror.revision().era => {
                     failures = failures.saturating_add(1);
-                    self.link.failed(StoreCall::Confirm, StoreError::OtherEra);
+                    self.link
+                        .call_failed(StoreCall::Confirm, StoreError::EraMismatch);
                 }
                 Ok(revision) => {
                     failures = 0;
-                    self.link.succeeded();
+                    self.link.call_succeeded();
                     state.knowledge().freshness.confirmed(asked, revision);
                     state.news.notify(usize::MAX);
                 }
                 Err(e) => {
                     failures = failures.saturating_add(1);
-                    self.link.failed(StoreCall::Confirm, e);
+                    self.link.call_failed(StoreCall::Confirm, e);
                 }
             }
         }
--- a/crates/gateway/src/send_gate.rs
+++ b/crates/gateway/src/send_gate.rs
@@ -112,7 +112,7 @@
         to: UpstreamRef,
         purpose: Purpose,
     ) -> Result<SendPermit, Withheld> {
-        let notice = state.limits.of(&to.upstream);
+        let notice = state.limits.notice(&to.upstream);
         let notice = notice.filter(|n| n.limit.is_some());
         let permit = SendPermit {
             limited: notice.map(|_| state.now()),
@@ -124,7 +124,7 @@
         let (Some(notice), Some(priority)) = (notice, permit.purpose.priority()) else {
             return Ok(permit);
         };
-        let asked = state.limiters.ask(state, &permit.to, notice, priority);
+        let asked = state.limiters.acquire(state, &permit.to, notice, priority);
         if let Err(wait) = asked.await {
             state.turns.note(state.now(), &permit.to.upstream, wait);
             return Err(Withheld {
@@ -243,7 +243,9 @@
             Purpose::Request { .. } | Purpose::Pieces if !listed() => {
                 withheld("the upstream gets nothing new any more")
             }
-            Purpose::Request { content, .. } if state.quarantine.left(now, *content).is_some() => {
+            Purpose::Request { content, .. }
+                if state.quarantine.time_left(now, *content).is_some() =>
+            {
                 withheld("the request ends upstreams")
             }
             Purpose::Request { .. } | Purpose::Pieces => match self.limited {
--- a/crates/gateway/src/stage_batches.rs
+++ b/crates/gateway/src/stage_batches.rs
@@ -105,7 +105,7 @@
                 ..Desk::default()
             });
             self.follow_upstreams(&shard, desk);
-            if let Some(left) = self.state.quarantine.left(now, job.content) {
+            if let Some(left) = self.state.quarantine.time_left(now, job.content) {
                 return Err(JobFailure::Quarantined(left));
             }
             let key = desk.desk.submit(now, job)?;
@@ -200,7 +200,7 @@
         self.follow_upstreams(shard, desk);
         let quarantine = &self.state.quarantine;
         desk.desk
-            .quarantine(|content| quarantine.left(now, content));
+            .quarantine(|content| quarantine.time_left(now, content));
         desk.desk.expire(now);
         for question in desk.desk.room_questions(now) {
             let asking = Arc::clone(self).ask_room(shard.clone(), question);
@@ -288,7 +288,7 @@
         let contents: BTreeSet<Content> = call.pieces.iter().map(|p| p.content).collect();
         for content in contents {
             match result {
-                CallResult::Answered(_) => quarantine.note_ran(now, &call.service, content),
+                CallResult::Answered(_) => quarantine.record_completed(now, &call.service, content),
                 CallResult::Broken => self.state.run_broke(upstream_of(call), content, began),
                 CallResult::Full
                 | CallResult::Withheld(_)
--- a/crates/gateway/src/stage_runner.rs
+++ b/crates/gateway/src/stage_runner.rs
@@ -19,7 +19,7 @@
 use jd_types::RefusalKind;
 
 use crate::call::Call;
-use crate::peers::Peers;
+use crate::peer_client::PeerClient;
 use crate::result_release::ResultRelease;
 use crate::signal::Signal;
 use crate::stage_batches::StageBatches;
@@ -53,7 +53,7 @@
 pub(crate) struct StageRunner {
     pub(crate) state: Arc<State>,
     pub(crate) batches: Arc<StageBatches>,
-    pub(crate) peers: Arc<Peers>,
+    pub(crate) peers: Arc<PeerClient>,
     pub(crate) release: Arc<ResultRelease>,
 }
 
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -46,7 +46,7 @@
 use crate::metrics::Metrics;
 use crate::notices::Notices;
 use crate::peer_channels::PeerChannels;
-use crate::peer_news::PackedPieces;
+use crate::peer_replication::PackedSnapshots;
 use crate::quarantine::Quarantine;
 use crate::run_events::RunEvent;
 use crate::run_events::UpstreamRef;
@@ -100,7 +100,7 @@
     /// Tells those that follow this instance that there is news.
     pub(crate) news: Event,
     /// What is told to instances that start.
-    pub(crate) packed: Mutex<PackedPieces>,
+    pub(crate) packed: Mutex<PackedSnapshots>,
     /// Set once it is known which instances the store lists.
     pub(crate) listed: Latch,
     knowledge: Mutex<Knowledge>,
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -70,7 +70,7 @@
     /// A record was written.
     Put(Record),
     /// An upstream's entry was removed.
-    UpstreamGone(CompactString),
+    UpstreamRemoved(CompactString),
     /// An upstream's entry names none: another writer left it, or wrote it over the
     /// upstream's own.
     UpstreamUnreadable {
@@ -80,16 +80,16 @@
         reason: CompactString,
     },
     /// An instance's entry was removed.
-    InstanceGone(Incarnation),
+    InstanceRemoved(Incarnation),
     /// The store keeps nothing of what is held against a request any more.
-    QuarantineGone(Content),
+    QuarantineRemoved(Content),
     /// An availability zone is no longer evacuated.
-    ZoneTakenBack(Name),
+    EvacuationEnded(Name),
 }
 
 /// Items of the store. They are passed on to other instances as they are.
 #[derive(Debug, Clone)]
-pub struct Items {
+pub struct ItemBatch {
     /// All of them, or those that changed in the order in which they did.
     pub items: Vec<StoreItem>,
     /// Nothing up to this revision is missing.
@@ -109,7 +109,7 @@
 
 /// Which records are read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Listed {
+pub enum RecordFilter {
     /// All of them.
     All,
     /// Those of instances of this system.
@@ -127,13 +127,13 @@
     Refused,
     /// No answer came: a write may have been done, or may be done later.
     #[snafu(display("the store did not answer; it is asked again on a new connection"))]
-    Lost,
+    NoAnswer,
     /// The changes asked for are no longer kept.
     #[snafu(display("the store forgot these changes; everything is read again"))]
     HistoryGone,
     /// The answer is of an earlier era than what is known here, or of two eras.
     #[snafu(display("the store's answer is of an earlier era; it is asked again"))]
-    OtherEra,
+    EraMismatch,
     /// The lease has ended.
     #[snafu(display("the lease has ended; another is taken"))]
     LeaseGone,
@@ -142,7 +142,7 @@
     Changed,
     /// The answer is not one that this version understands.
     #[snafu(display("the store's answer cannot be read; check its version"))]
-    Unreadable,
+    InvalidAnswer,
 }
 
 impl StoreError {
@@ -150,12 +150,12 @@
     pub(crate) const fn as_str(self) -> &'static str {
         match self {
             StoreError::Refused => "refused",
-            StoreError::Lost => "lost",
+            StoreError::NoAnswer => "lost",
             StoreError::HistoryGone => "history-gone",
-            StoreError::OtherEra => "other-era",
+            StoreError::EraMismatch => "other-era",
             StoreError::LeaseGone => "lease-gone",
             StoreError::Changed => "changed",
-            StoreError::Unreadable => "unreadable",
+            StoreError::InvalidAnswer => "unreadable",
         }
     }
 }
@@ -166,10 +166,10 @@
     /// Reads records of a kind: what lies after a key, as it is now and as much as fits
     /// into one answer; everything from the empty key on. Pages are no snapshot: what
     /// changed since the first one comes with a watch from its revision.
-    fn page<'a>(&'a self, what: Listed, after: &'a str) -> StoreFuture<'a, Page>;
+    fn page<'a>(&'a self, filter: RecordFilter, after: &'a str) -> StoreFuture<'a, Page>;
 
     /// Waits for changes after a revision, at most `wait`.
-    fn watch(&self, after: StoreRevision, wait: Duration) -> StoreFuture<'_, Items>;
+    fn watch(&self, after: StoreRevision, wait: Duration) -> StoreFuture<'_, ItemBatch>;
 
     /// What an item says; none if it does not concern the product.
     fn decode(&self, item: &StoreItem) -> Option<Change>;
@@ -200,7 +200,7 @@
     ) -> StoreFuture<'a, ()>;
 
     /// Removes another instance's entry if it is still the one written at this revision.
-    fn remove(&self, id: Incarnation, written: StoreRevision) -> StoreFuture<'_, ()>;
+    fn remove_instance(&self, id: Incarnation, written: StoreRevision) -> StoreFuture<'_, ()>;
 
     /// Removes this instance's entry.
     fn withdraw(&self, id: Incarnation) -> StoreFuture<'_, ()>;
--- a/crates/gateway/src/store_intake.rs
+++ b/crates/gateway/src/store_applier.rs
@@ -22,8 +22,8 @@
 use crate::Record;
 use crate::Store;
 use crate::knowledge::KnownDeployment;
-use crate::quarantine::Source;
-use crate::quarantine::Told;
+use crate::quarantine::QuarantineSource;
+use crate::quarantine::QuarantineUpdate;
 use crate::state::State;
 
 /// Changes of upstreams in one batch that an instance logs one by one though it hears of
@@ -69,15 +69,15 @@
 
 /// Takes in what the store holds, whoever brings the news.
 #[derive(Debug)]
-pub(crate) struct StoreIntake {
+pub(crate) struct StoreApplier {
     pub(crate) state: Arc<State>,
     pub(crate) store: Arc<dyn Store>,
 }
 
-impl StoreIntake {
+impl StoreApplier {
     /// Takes news in; false if they are older than what is known, or of an era whose
     /// beginning is not known here.
-    pub(crate) fn take(&self, news: News) -> bool {
+    pub(crate) fn apply(&self, news: News) -> bool {
         let News {
             whole,
             items,
@@ -90,8 +90,8 @@
                 return false;
             }
             false if !revision.is_same_era(known) => return false,
-            true => self.replace(items, revision, known),
-            false => self.apply(items, revision),
+            true => self.apply_snapshot(items, revision, known),
+            false => self.apply_changes(items, revision),
         }
         let now = self.state.now();
         {
@@ -105,7 +105,7 @@
     }
 
     /// Takes in which instances the store lists, before anything else is known.
-    pub(crate) fn take_instances(&self, items: &[StoreItem]) {
+    pub(crate) fn apply_instances(&self, items: &[StoreItem]) {
         for (change, item) in self.decode(items) {
             if let Change::Put(record) = change {
                 self.take_record(record, &item);
@@ -117,7 +117,7 @@
     }
 
     /// The other instances that items name.
-    pub(crate) fn sampled(&self, items: &[StoreItem]) -> Vec<InstanceEntry> {
+    pub(crate) fn decode_sample(&self, items: &[StoreItem]) -> Vec<InstanceEntry> {
         let me = &self.state.me;
         let entries = self.decode(items).into_iter();
         let entries = entries.filter_map(|(change, _)| match change {
@@ -128,7 +128,7 @@
     }
 
     /// Takes the configuration alone out of another instance's records.
-    pub(crate) fn take_deployment(&self, items: &[StoreItem]) {
+    pub(crate) fn apply_deployment(&self, items: &[StoreItem]) {
         for (change, item) in self.decode(items) {
             if let Change::Put(record @ Record::Deployment(_)) = change {
                 self.take_record(record, &item);
@@ -136,7 +136,7 @@
         }
     }
 
-    fn replace(&self, items: Vec<StoreItem>, revision: StoreRevision, known: StoreRevision) {
+    fn apply_snapshot(&self, items: Vec<StoreItem>, revision: StoreRevision, known: StoreRevision) {
         let is_first = known == StoreRevision::NOTHING;
         let reading = match is_first || revision.is_same_era(known) {
             true => Reading::Complete,
@@ -167,13 +167,13 @@
                     }
                     self.take_record(record, &item);
                 }
-                Change::UpstreamGone(_)
-                | Change::InstanceGone(_)
-                | Change::QuarantineGone(_)
-                | Change::ZoneTakenBack(_) => {}
+                Change::UpstreamRemoved(_)
+                | Change::InstanceRemoved(_)
+                | Change::QuarantineRemoved(_)
+                | Change::EvacuationEnded(_) => {}
             }
         }
-        self.state.quarantine.relist(&quarantined);
+        self.state.quarantine.retain_stored(&quarantined);
         let now = self.state.now();
         if reading == Reading::Restored {
             log::warn!(revision:%, known:%; "store was restored from a copy; what it lost is written again");
@@ -194,7 +194,7 @@
         log::info!(revision:%; "store read whole");
     }
 
-    fn apply(&self, items: Vec<StoreItem>, revision: StoreRevision) {
+    fn apply_changes(&self, items: Vec<StoreItem>, revision: StoreRevision) {
         let items = self.keep_deployment(items, revision, false);
         let items = self.state.knowledge().mirror.apply(items, revision);
         let now = self.state.now();
@@ -210,23 +210,25 @@
                     log::info!(zone:% = zone, revision:%; "zone evacuated: nothing new goes to its upstreams");
                     changed |= self.state.knowledge().evacuated.evacuate(zone);
                 }
-                Change::ZoneTakenBack(zone) => {
+                Change::EvacuationEnded(zone) => {
                     log::info!(zone:% = zone, revision:%; "zone taken back");
                     changed |= self.state.knowledge().evacuated.take_back(now, &zone);
                 }
                 Change::Put(record) => self.take_record(record, &item),
-                Change::UpstreamGone(id) => {
+                Change::UpstreamRemoved(id) => {
                     lines.removed(&id, revision);
                     changed |= self.state.knowledge().upstreams.remove(now, &id);
                 }
                 Change::UpstreamUnreadable { id, reason } => {
                     changed |= self.leave_out(&id, &reason, item.revision);
                 }
-                Change::InstanceGone(id) if id == self.state.me.incarnation => {
+                Change::InstanceRemoved(id) if id == self.state.me.incarnation => {
                     self.state.entry_gone.give();
                 }
-                Change::InstanceGone(id) => self.state.knowledge().instances.unlist(id),
-                Change::QuarantineGone(content) => self.state.quarantine.note_stored(content, None),
+                Change::InstanceRemoved(id) => self.state.knowledge().instances.unlist(id),
+                Change::QuarantineRemoved(content) => {
+                    self.state.quarantine.set_stored(content, None)
+                }
             }
         }
         lines.end(revision);
@@ -307,14 +309,14 @@
         } = record;
         // One whose time is over has none left.
         let left = until.duration_since(SystemTime::now()).unwrap_or_default();
-        let told = Told {
+        let told = QuarantineUpdate {
             content,
             state,
             left,
         };
         let quarantine = &self.state.quarantine;
-        quarantine.take(self.state.now(), Source::Store, [told]);
-        quarantine.note_stored(content, Some(state));
+        quarantine.apply(self.state.now(), QuarantineSource::Store, [told]);
+        quarantine.set_stored(content, Some(state));
     }
 
     fn take_record(&self, record: Record, item: &StoreItem) {
--- a/crates/gateway/src/store_follower.rs
+++ b/crates/gateway/src/store_follower.rs
@@ -12,13 +12,13 @@
 use jd_types::Incarnation;
 
 use crate::StoreError;
-use crate::peer_news::Heard;
-use crate::peers::Peers;
+use crate::peer_client::PeerClient;
+use crate::peer_replication::SourceReply;
+use crate::store_applier::StoreApplier;
 use crate::store_call::StoreCall;
-use crate::store_intake::StoreIntake;
-use crate::store_link::CALL_WITHIN;
+use crate::store_link::CALL_TIMEOUT;
 use crate::store_link::StoreLink;
-use crate::store_link::patience;
+use crate::store_link::call_timeout;
 use crate::store_reader::StoreReader;
 
 /// How long one watch waits for changes: the longest that the store allows.
@@ -65,9 +65,9 @@
 #[derive(Debug)]
 pub(crate) struct StoreFollower {
     pub(crate) link: Arc<StoreLink>,
-    pub(crate) intake: Arc<StoreIntake>,
+    pub(crate) applier: Arc<StoreApplier>,
     pub(crate) reader: StoreReader,
-    pub(crate) peers: Arc<Peers>,
+    pub(crate) peers: Arc<PeerClient>,
 }
 
 /// What a round of following came to.
@@ -89,15 +89,15 @@
         let mut failures: u32 = 0;
         loop {
             if round == Round::Lost {
-                match self.reader.read_all(patience(failures)).await {
+                match self.reader.read_all(call_timeout(failures)).await {
                     Ok(()) => {
                         round = Round::Kept;
                         failures = 0;
                     }
                     Err(e) => {
                         failures = failures.saturating_add(1);
-                        self.link.failed(StoreCall::Page, e);
-                        if e == StoreError::OtherEra {
+                        self.link.call_failed(StoreCall::Page, e);
+                        if e == StoreError::EraMismatch {
                             // The store answers, so that nothing else waits.
                             Timer::after(NEWS_BEHIND).await;
                         }
@@ -119,9 +119,9 @@
         let mut failures: u32 = 0;
         // A call that hangs since the store was away is given up soon: what is read
         // first is little. Each third may take as long as one of a slow store does.
-        while let Err(e) = self.read_first(patience(failures + 1)).await {
+        while let Err(e) = self.read_first(call_timeout(failures + 1)).await {
             failures = failures.saturating_add(1);
-            self.link.failed(StoreCall::Page, e);
+            self.link.call_failed(StoreCall::Page, e);
             Timer::after(first_read_pause(failures)).await;
         }
     }
@@ -158,7 +158,7 @@
                 return Ok(());
             }
         }
-        self.reader.read_all(CALL_WITHIN).await
+        self.reader.read_all(CALL_TIMEOUT).await
     }
 
     /// Hears everything from one of a large fleet; from the store if others ask this one
@@ -176,7 +176,7 @@
             while let Some(source) = sources.ask_next()
                 && state.now().since(asked) < SOURCES_WITHIN
             {
-                match self.peers.hear_first(source, FIRST_FOLLOW_WAIT).await {
+                match self.peers.fetch_all_at(source, FIRST_FOLLOW_WAIT).await {
                     Some(heard) if !heard.store_away => self.take_heard(heard),
                     // What it knows may be old, while the store answered here just now.
                     Some(_) | None => sources.is_silent(source),
@@ -188,14 +188,14 @@
             true
         };
         match wanted.or(heard).await {
-            true => self.reader.read_all(CALL_WITHIN).await,
+            true => self.reader.read_all(CALL_TIMEOUT).await,
             false => Ok(()),
         }
     }
 
-    fn take_heard(&self, heard: Heard) {
+    fn take_heard(&self, heard: SourceReply) {
         for news in heard.news {
-            self.intake.take(news);
+            self.applier.apply(news);
         }
         if let Some(proof) = heard.proof {
             self.link.state.knowledge().freshness.adopt(proof);
@@ -203,7 +203,7 @@
     }
 
     /// Gives up entries whose time is over.
-    pub(crate) async fn expire(self: Arc<Self>) {
+    pub(crate) async fn expire_entries(self: Arc<Self>) {
         let state = &self.link.state;
         loop {
             Timer::after(EXPIRE_EVERY).await;
@@ -234,7 +234,7 @@
     /// Guards against an instance that starts after the store came back from a copy: it
     /// reads an older version there, by which a credential that was taken away works,
     /// until the operator has written the newest one again.
-    pub(crate) async fn catch_up(self: Arc<Self>) {
+    pub(crate) async fn fetch_newer_deployment(self: Arc<Self>) {
         let state = &self.link.state;
         loop {
             Timer::after(EXPIRE_EVERY).await;
@@ -244,10 +244,10 @@
                 continue;
             };
             log::info!(source:% = id; "another instance has a later configuration in force");
-            match self.peers.hear_all(id).await {
+            match self.peers.fetch_all(id).await {
                 Some(heard) => {
                     for news in heard.news {
-                        self.intake.take_deployment(&news.items);
+                        self.applier.apply_deployment(&news.items);
                     }
                 }
                 None => {
@@ -290,16 +290,16 @@
         let state = &self.link.state;
         let revision = state.knowledge().mirror.revision();
         let watching = self.link.store.watch(revision, wait);
-        let patience = wait + CALL_WITHIN;
+        let patience = wait + CALL_TIMEOUT;
         match self.link.call(StoreCall::Watch, patience, watching).await {
             Ok(changes) if changes.revision.era > revision.era => {
-                self.link.succeeded();
+                self.link.call_succeeded();
                 log::info!(revision:%, now:% = changes.revision; "watch ended in another era; reading everything again");
                 Round::Lost
             }
             Ok(changes) => {
-                self.link.succeeded();
-                self.intake.take(News {
+                self.link.call_succeeded();
+                self.applier.apply(News {
                     whole: false,
                     items: changes.items,
                     revision: changes.revision,
@@ -312,7 +312,7 @@
                 Round::Lost
             }
             Err(e) => {
-                self.link.failed(StoreCall::Watch, e);
+                self.link.call_failed(StoreCall::Watch, e);
                 if state.news_source() == NewsSource::Store {
                     state.store_back.wait(AWAY_PAUSE).await;
                 }
@@ -340,7 +340,7 @@
         self.take_heard(heard);
         match store_away {
             true => self.source_lost_store(id),
-            false => self.link.back(),
+            false => self.link.mark_available(),
         }
         if !store_away && state.without_proof() > FOLLOWED_PROOF_MOST {
             log::info!(source:% = id; "the instance followed brings no proof");
@@ -366,7 +366,7 @@
         knowledge.note_source(now, id, SourceState::StoreAway);
         drop(knowledge);
         if state.news_source().instance() == Some(id) {
-            self.link.away();
+            self.link.mark_unavailable();
         } else {
             log::info!(source:% = id; "the instance followed has lost the store");
         }
--- a/crates/gateway/src/store_lease.rs
+++ b/crates/gateway/src/store_lease.rs
@@ -9,7 +9,7 @@
 use crate::LeaseId;
 use crate::StoreError;
 use crate::store_call::StoreCall;
-use crate::store_link::CALL_WITHIN;
+use crate::store_link::CALL_TIMEOUT;
 use crate::store_link::StoreLink;
 
 /// Pause after the entry could not be written or its lease not renewed. Others are
@@ -39,7 +39,7 @@
 impl StoreLease {
     /// Keeps the entry until this instance leaves. It is written once those of
     /// others were read, so that it takes the place of those of earlier starts.
-    pub(crate) async fn keep(self: Arc<Self>) {
+    pub(crate) async fn keep_registered(self: Arc<Self>) {
         let state = &self.link.state;
         state.listed.wait().await;
         let mut held = HeldEntry::default();
@@ -73,7 +73,7 @@
         let withdrawing = self.link.store.withdraw(me);
         let ended = self
             .link
-            .call(StoreCall::Withdraw, CALL_WITHIN, withdrawing);
+            .call(StoreCall::Withdraw, CALL_TIMEOUT, withdrawing);
         if let Err(e) = ended.await {
             log::info!(error:% = e; "entry not removed; others remove it");
         }
@@ -103,8 +103,8 @@
 
     async fn remove(&self, silent: SilentInstance) {
         let SilentInstance { id, written, since } = silent;
-        let removing = self.link.store.remove(id, written);
-        let ended = self.link.call(StoreCall::Remove, CALL_WITHIN, removing);
+        let removing = self.link.store.remove_instance(id, written);
+        let ended = self.link.call(StoreCall::Remove, CALL_TIMEOUT, removing);
         let outcome = ended.await.map_or_else(StoreError::as_str, |()| "done");
         let silent_ms = since.as_millis() as u64;
         log::info!(instance:% = id, silent_ms, outcome; "silent instance removed");
@@ -119,19 +119,21 @@
         let lease = match held.lease {
             Some(lease) if held.written => {
                 let renewing = store.renew(lease);
-                let renewed = self.link.call(StoreCall::Renew, CALL_WITHIN, renewing);
+                let renewed = self.link.call(StoreCall::Renew, CALL_TIMEOUT, renewing);
                 return renewed.await;
             }
             Some(lease) => lease,
             None => {
                 let taking = store.lease(state.settings.lease);
-                let taken = self.link.call(StoreCall::Lease, CALL_WITHIN, taking);
+                let taken = self.link.call(StoreCall::Lease, CALL_TIMEOUT, taking);
                 *held.lease.insert(taken.await?)
             }
         };
         let earlier = std::mem::take(&mut state.knowledge().earlier_starts);
         let announcing = store.announce(&state.me, lease, &earlier);
-        let written = self.link.call(StoreCall::Announce, CALL_WITHIN, announcing);
+        let written = self
+            .link
+            .call(StoreCall::Announce, CALL_TIMEOUT, announcing);
         written.await?;
         held.written = true;
         Ok(())
--- a/crates/gateway/src/store_link.rs
+++ b/crates/gateway/src/store_link.rs
@@ -16,7 +16,7 @@
 
 /// How long a call may take. Six times what the slowest store of the users'
 /// pages took; a connection that is silent for longer is given up.
-pub(crate) const CALL_WITHIN: Duration = Duration::from_millis(1_500);
+pub(crate) const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// The same for two calls of three while the store is away: more than its slowest
 /// answers on the users' pages.
@@ -28,9 +28,9 @@
 /// How long a call may take after so many that failed. A connection that was
 /// begun while the store was away may hang for its whole time after the return; a
 /// new one is tried sooner.
-pub(crate) fn patience(failures: u32) -> Duration {
+pub(crate) fn call_timeout(failures: u32) -> Duration {
     match failures % 3 {
-        0 => CALL_WITHIN,
+        0 => CALL_TIMEOUT,
         _ => AWAY_CALL_WITHIN,
     }
 }
@@ -53,7 +53,7 @@
     ) -> Result<T, StoreError> {
         self.counts.add(kind);
         let result = within(patience, call).await;
-        let result = result.unwrap_or(Err(StoreError::Lost));
+        let result = result.unwrap_or(Err(StoreError::NoAnswer));
         let outcome = match &result {
             Ok(_) => "done",
             Err(e) => e.as_str(),
@@ -63,7 +63,7 @@
     }
 
     /// Logs for good how many calls there were.
-    pub(crate) async fn report(self: Arc<Self>) {
+    pub(crate) async fn log_call_counts(self: Arc<Self>) {
         loop {
             Timer::after(REPORT_EVERY).await;
             if let Some(counts) = self.counts.take() {
@@ -74,17 +74,17 @@
     }
 
     /// The store answered this instance.
-    pub(crate) fn succeeded(&self) {
+    pub(crate) fn call_succeeded(&self) {
         let now = self.state.now();
         let me = self.state.me.incarnation;
         let mut knowledge = self.state.knowledge();
         knowledge.note_source(now, me, SourceState::Able);
         drop(knowledge);
-        self.back();
+        self.mark_available();
     }
 
     /// The store answers, this instance or the one that it follows.
-    pub(crate) fn back(&self) {
+    pub(crate) fn mark_available(&self) {
         let now = self.state.now();
         let back = self.state.knowledge().upstreams.store_back(now);
         if back {
@@ -95,7 +95,7 @@
     }
 
     /// The store did not answer this instance.
-    pub(crate) fn failed(&self, kind: StoreCall, e: StoreError) {
+    pub(crate) fn call_failed(&self, kind: StoreCall, e: StoreError) {
         log::warn!(call = kind.as_str(), error:% = e; "store call failed");
         let now = self.state.now();
         let me = self.state.me.incarnation;
@@ -104,12 +104,12 @@
         drop(knowledge);
         // The store may turn just this instance away while another hears it.
         if self.state.news_source() == NewsSource::Store {
-            self.away();
+            self.mark_unavailable();
         }
     }
 
     /// Nobody from whom this instance could hear has the store.
-    pub(crate) fn away(&self) {
+    pub(crate) fn mark_unavailable(&self) {
         let mut knowledge = self.state.knowledge();
         if knowledge.upstreams.is_store_away() {
             return;
--- a/crates/gateway/src/store_reader.rs
+++ b/crates/gateway/src/store_reader.rs
@@ -9,12 +9,12 @@
 use jd_serving::StoreItem;
 use jd_serving::StoreRevision;
 
-use crate::Listed;
 use crate::Page;
+use crate::RecordFilter;
 use crate::StoreError;
+use crate::store_applier::StoreApplier;
 use crate::store_call::StoreCall;
-use crate::store_intake::StoreIntake;
-use crate::store_link::CALL_WITHIN;
+use crate::store_link::CALL_TIMEOUT;
 use crate::store_link::StoreLink;
 
 /// How often a page that is not the first is asked for again.
@@ -28,7 +28,7 @@
 #[derive(Debug)]
 pub(crate) struct StoreReader {
     pub(crate) link: Arc<StoreLink>,
-    pub(crate) intake: Arc<StoreIntake>,
+    pub(crate) applier: Arc<StoreApplier>,
 }
 
 impl StoreReader {
@@ -36,14 +36,14 @@
     pub(crate) async fn read_all(&self, patience: Duration) -> Result<(), StoreError> {
         let state = &self.link.state;
         let asked = state.now();
-        let (items, revision) = self.read(Listed::All, patience).await?;
-        let taken = self.intake.take(News {
+        let (items, revision) = self.read(RecordFilter::All, patience).await?;
+        let taken = self.applier.apply(News {
             whole: true,
             items,
             revision,
         });
         if !taken {
-            return Err(StoreError::OtherEra);
+            return Err(StoreError::EraMismatch);
         }
         state.knowledge().freshness.confirmed(asked, revision);
         Ok(())
@@ -51,8 +51,8 @@
 
     /// Reads which instances there are.
     pub(crate) async fn read_instances(&self, patience: Duration) -> Result<(), StoreError> {
-        let (items, _) = self.read(Listed::Instances, patience).await?;
-        self.intake.take_instances(&items);
+        let (items, _) = self.read(RecordFilter::Instances, patience).await?;
+        self.applier.apply_instances(&items);
         Ok(())
     }
 
@@ -63,9 +63,9 @@
         patience: Duration,
     ) -> Result<Vec<InstanceEntry>, StoreError> {
         let bits = self.link.state.me.incarnation.get() >> 60;
-        let sample = Listed::Sample(u8::try_from(bits).unwrap_or(0));
+        let sample = RecordFilter::Sample(u8::try_from(bits).unwrap_or(0));
         let page = self.read_page(sample, "", patience).await?;
-        Ok(self.intake.sampled(&page.items))
+        Ok(self.applier.decode_sample(&page.items))
     }
 
     /// All items and the revision of the first page. What has changed since that page
@@ -75,32 +75,32 @@
     /// together they are nothing that the store ever held.
     async fn read(
         &self,
-        what: Listed,
+        filter: RecordFilter,
         patience: Duration,
     ) -> Result<(Vec<StoreItem>, StoreRevision), StoreError> {
         for _ in 0..ERA_TRIES {
-            if let Some(read) = self.read_pages(what, patience).await? {
+            if let Some(read) = self.read_pages(filter, patience).await? {
                 return Ok(read);
             }
             log::info!("the store has changed its era while it was read; reading it again");
         }
-        Err(StoreError::OtherEra)
+        Err(StoreError::EraMismatch)
     }
 
     /// The same, or none if the pages are not all of one era.
     async fn read_pages(
         &self,
-        what: Listed,
+        filter: RecordFilter,
         patience: Duration,
     ) -> Result<Option<(Vec<StoreItem>, StoreRevision)>, StoreError> {
-        let mut page = self.read_page(what, "", patience).await?;
+        let mut page = self.read_page(filter, "", patience).await?;
         let revision = page.revision;
         let mut items: Vec<StoreItem> = Vec::new();
         loop {
             items.append(&mut page.items);
             match items.last() {
                 _ if !page.revision.is_same_era(revision) => return Ok(None),
-                Some(last) if page.more => page = self.read_on(what, &last.key).await?,
+                Some(last) if page.more => page = self.read_on(filter, &last.key).await?,
                 _ => return Ok(Some((items, revision))),
             }
         }
@@ -108,13 +108,13 @@
 
     async fn read_page(
         &self,
-        what: Listed,
+        filter: RecordFilter,
         after: &str,
         patience: Duration,
     ) -> Result<Page, StoreError> {
-        let page = self.link.store.page(what, after);
+        let page = self.link.store.page(filter, after);
         let page = self.link.call(StoreCall::Page, patience, page).await?;
-        self.link.succeeded();
+        self.link.call_succeeded();
         Ok(page)
     }
 
@@ -123,14 +123,14 @@
     /// Guards against all instances of a large fleet starting at once: together
     /// they ask for more than the store's rate and link carry in a second, and each
     /// that began anew after one refused page kept them busy for longer.
-    async fn read_on(&self, what: Listed, after: &str) -> Result<Page, StoreError> {
+    async fn read_on(&self, filter: RecordFilter, after: &str) -> Result<Page, StoreError> {
         for _ in 0..PAGE_TRIES {
-            match self.read_page(what, after, CALL_WITHIN).await {
+            match self.read_page(filter, after, CALL_TIMEOUT).await {
                 Ok(page) => return Ok(page),
-                Err(e) => self.link.failed(StoreCall::Page, e),
+                Err(e) => self.link.call_failed(StoreCall::Page, e),
             }
             Timer::after(PAGE_PAUSE.mul_f64(0.5 + fastrand::f64())).await;
         }
-        self.read_page(what, after, CALL_WITHIN).await
+        self.read_page(filter, after, CALL_TIMEOUT).await
     }
 }
--- a/crates/gateway/tests/restored/restored_store.rs
+++ b/crates/gateway/tests/restored/restored_store.rs
@@ -49,7 +49,7 @@
     if instances >= SMALL_FLEET {
         return harness.until_two_watch().await;
     }
-    while !harness.store.is_seen() {
+    while !harness.store.is_caught_up() {
         Timer::after(LOOK).await;
     }
 }
@@ -61,7 +61,7 @@
         harness
             .store
             .change(Change::Put(Record::EvacuatedZone(zone.clone())));
-        harness.store.change(Change::ZoneTakenBack(zone));
+        harness.store.change(Change::EvacuationEnded(zone));
     }
 }
 
@@ -144,7 +144,7 @@
         let kept = harness.store.len();
         harness.leave(0);
         if removed {
-            harness.store.change(Change::UpstreamGone("i-0".into()));
+            harness.store.change(Change::UpstreamRemoved("i-0".into()));
         }
         until_seen(&harness, 1).await;
         harness.store.restore(kept);
@@ -271,12 +271,12 @@
         let kept = harness.store.len();
         change_often(&harness);
         until_seen(&harness, 1).await;
-        harness.store.set_away(true);
+        harness.store.set_unavailable(true);
         harness.store.restore(kept);
         harness.store.change(version(2));
         change_often(&harness);
         change_often(&harness);
-        harness.store.set_away(false);
+        harness.store.set_unavailable(false);
         all_answer(&harness, 1, "/added/x", 200).await;
     });
 }
--- a/crates/gateway/tests/whole/backoffs.rs
+++ b/crates/gateway/tests/whole/backoffs.rs
@@ -10,13 +10,13 @@
 use crate::fakes::FakeUpstream;
 use crate::fakes::Harness;
 use crate::fakes::Reply;
-use crate::fakes::ending_fleet::repeat;
-use crate::fakes::noticing::LOAD;
-use crate::fakes::noticing::ON_ITS_WAY;
-use crate::fakes::noticing::PAUSE;
-use crate::fakes::noticing::all_served;
-use crate::fakes::noticing::arrivals;
-use crate::fakes::noticing::gateway;
+use crate::fakes::crash_fleet::send_repeatedly;
+use crate::fakes::upstream_notices::IN_FLIGHT_GRACE;
+use crate::fakes::upstream_notices::LOAD;
+use crate::fakes::upstream_notices::PAUSE;
+use crate::fakes::upstream_notices::arrivals;
+use crate::fakes::upstream_notices::assert_all_served;
+use crate::fakes::upstream_notices::gateway;
 
 /// How long an upstream wants nothing, and the same as it says it.
 const BACKOFF: Duration = Duration::from_secs(3);
@@ -35,10 +35,10 @@
         let upstream = &harness.upstreams[resting];
         upstream.reply(vec![Reply::BackOff(BACKOFF_TEXT)]);
         let said = until_asked(&harness, path, upstream).await;
-        all_served(&repeat(&harness, path, PAUSE, BACKOFF - ON_ITS_WAY).await);
-        let late = arrivals(upstream, said + ON_ITS_WAY, said + BACKOFF);
+        assert_all_served(&send_repeatedly(&harness, path, PAUSE, BACKOFF - IN_FLIGHT_GRACE).await);
+        let late = arrivals(upstream, said + IN_FLIGHT_GRACE, said + BACKOFF);
         assert_eq!(late, 0, "sent while it wanted nothing");
-        repeat(&harness, path, PAUSE, LOAD).await;
+        send_repeatedly(&harness, path, PAUSE, LOAD).await;
         let again = arrivals(upstream, said + BACKOFF, Instant::now());
         assert!(again > 0, "never asked again");
     });
@@ -65,7 +65,11 @@
         assert_eq!(received.run.as_deref(), Some("not run"));
         let retry = received.retry.expect("a time to come back");
         assert!(retry > BACKOFF, "{retry:?} although all want longer");
-        assert!(counted.elapsed() < ON_ITS_WAY, "{:?}", counted.elapsed());
+        assert!(
+            counted.elapsed() < IN_FLIGHT_GRACE,
+            "{:?}",
+            counted.elapsed()
+        );
         for upstream in &harness.upstreams[..2] {
             assert_eq!(arrivals(upstream, counted, Instant::now()), 0);
         }
@@ -91,7 +95,11 @@
             let retry = received.retry.expect("a time to come back");
             assert!(retry > BACKOFF, "{retry:?} although all want longer");
         }
-        assert!(counted.elapsed() < ON_ITS_WAY, "{:?}", counted.elapsed());
+        assert!(
+            counted.elapsed() < IN_FLIGHT_GRACE,
+            "{:?}",
+            counted.elapsed()
+        );
         for upstream in &harness.upstreams[1..] {
             assert_eq!(arrivals(upstream, counted, Instant::now()), 0);
         }
@@ -113,7 +121,7 @@
             Timer::after(PAUSE).await;
         }
         let took = said.elapsed();
-        let due = Duration::from_millis(1_100) + ON_ITS_WAY;
+        let due = Duration::from_millis(1_100) + IN_FLIGHT_GRACE;
         assert!(took >= Duration::from_secs(1) && took < due, "{took:?}");
         assert_eq!(harness.counted("jd_gateway_repeats_total").await, before);
     });
--- a/crates/gateway/tests/whole/cold_start.rs
+++ b/crates/gateway/tests/whole/cold_start.rs
@@ -23,7 +23,7 @@
 }
 
 async fn until_seen(harness: &Harness) {
-    while !harness.store.is_seen() {
+    while !harness.store.is_caught_up() {
         Timer::after(Duration::from_millis(5)).await;
     }
 }
@@ -63,7 +63,7 @@
         let evacuated = Record::EvacuatedZone(zone.clone());
         harness.store.change(Change::Put(evacuated));
         until_seen(&harness).await;
-        harness.store.change(Change::ZoneTakenBack(zone));
+        harness.store.change(Change::EvacuationEnded(zone));
         until_seen(&harness).await;
         assert!(answered_by_first(&harness).await <= 3);
     });
--- a/crates/gateway/tests/whole/crashes.rs
+++ b/crates/gateway/tests/whole/crashes.rs
@@ -8,16 +8,16 @@
 use futures_lite::future::block_on;
 use test_case::test_case;
 
-use crate::fakes::EndingUpstreams;
+use crate::fakes::CrashingUpstreams;
 use crate::fakes::Harness;
-use crate::fakes::ending_fleet::GIVEN_UP_AFTER;
-use crate::fakes::ending_fleet::INSTANCES;
-use crate::fakes::ending_fleet::fleet;
-use crate::fakes::ending_fleet::is_quarantined;
-use crate::fakes::ending_fleet::repeat;
-use crate::fakes::ending_fleet::runs_of;
-use crate::fakes::ending_fleet::until_quarantined;
-use crate::fakes::ending_fleet::until_quarantined_everywhere;
+use crate::fakes::crash_fleet::INSTANCES;
+use crate::fakes::crash_fleet::TEST_TIMEOUT;
+use crate::fakes::crash_fleet::fleet;
+use crate::fakes::crash_fleet::is_quarantined;
+use crate::fakes::crash_fleet::runs_of;
+use crate::fakes::crash_fleet::send_repeatedly;
+use crate::fakes::crash_fleet::until_quarantined;
+use crate::fakes::crash_fleet::until_quarantined_everywhere;
 
 /// Instances of a fleet that is too large for all to hear all.
 const LARGE_FLEET: usize = 24;
@@ -31,7 +31,7 @@
 const MORE_ALLOWED: usize = 3;
 
 /// The request with `bad` in its path ended upstreams, and was kept from them in time.
-fn assert_kept_away(upstreams: &EndingUpstreams) {
+fn assert_kept_away(upstreams: &CrashingUpstreams) {
     let ends = upstreams.ends();
     assert!(ends.len() >= 3, "it ended {} upstreams", ends.len());
     let known = ends[2] + KNOWN_WITHIN;
@@ -53,13 +53,13 @@
 fn a_request_that_ends_its_upstreams_is_kept_from_them_everywhere() {
     let mut harness = Harness::start(Vec::new());
     harness.add_gateways(INSTANCES - 1);
-    let upstreams = EndingUpstreams::start(harness.executor(), &harness.store, 6);
+    let upstreams = CrashingUpstreams::start(harness.executor(), &harness.store, 6);
     let harness = Arc::new(harness);
     block_on(async {
         harness.until_all_answer("/any/x", 200).await;
         let pause = Duration::from_millis(150);
         let span = Duration::from_millis(6_000);
-        repeat(&harness, "/stream/bad", pause, span).await;
+        send_repeatedly(&harness, "/stream/bad", pause, span).await;
         assert_kept_away(&upstreams);
     });
 }
@@ -100,7 +100,7 @@
         harness.until_all_answer("/any/x", 200).await;
         let pause = Duration::from_millis(30);
         let span = Duration::from_millis(7_000);
-        repeat(&harness, "/staged/bad", pause, span).await;
+        send_repeatedly(&harness, "/staged/bad", pause, span).await;
         assert_kept_away(&upstreams);
     });
 }
@@ -134,7 +134,7 @@
         let harness = Arc::new(harness);
         harness.until_all_answer("/any/x", 200).await;
         until_quarantined_everywhere(&harness, "/stream/bad").await;
-        let until = Instant::now() + GIVEN_UP_AFTER;
+        let until = Instant::now() + TEST_TIMEOUT;
         while !harness.store.holds_quarantine() {
             assert!(Instant::now() < until, "the store was told nothing");
             Timer::after(Duration::from_millis(10)).await;
@@ -175,7 +175,7 @@
 fn what_was_found_reaches_all_of_a_large_fleet() {
     let mut harness = Harness::start(Vec::new());
     harness.add_gateways(LARGE_FLEET - 1);
-    let _upstreams = EndingUpstreams::start(harness.executor(), &harness.store, 6);
+    let _upstreams = CrashingUpstreams::start(harness.executor(), &harness.store, 6);
     harness.store.refuse_quarantine();
     let harness = Arc::new(harness);
     block_on(async {
--- a/crates/gateway/tests/whole/evacuation.rs
+++ b/crates/gateway/tests/whole/evacuation.rs
@@ -23,7 +23,7 @@
 }
 
 async fn until_seen(harness: &Harness) {
-    while !harness.store.is_seen() {
+    while !harness.store.is_caught_up() {
         Timer::after(Duration::from_millis(5)).await;
     }
 }
@@ -46,7 +46,7 @@
             let received = harness.ask("/any/x", &n.to_string()).await;
             assert_eq!(received.body, "b");
         }
-        harness.store.change(Change::ZoneTakenBack(zone("a")));
+        harness.store.change(Change::EvacuationEnded(zone("a")));
         until_seen(&harness).await;
         while harness.ask("/any/x", "later").await.body != "a" {}
     });
--- a/crates/gateway/tests/whole/fakes/ending_fleet.rs
+++ b/crates/gateway/tests/whole/fakes/crash_fleet.rs
@@ -7,7 +7,7 @@
 use async_executor::Task;
 use async_io::Timer;
 
-use crate::fakes::EndingUpstreams;
+use crate::fakes::CrashingUpstreams;
 use crate::fakes::Harness;
 use crate::fakes::Received;
 use crate::fakes::Reply;
@@ -15,22 +15,22 @@
 /// Instances of a fleet in these tests.
 pub(crate) const INSTANCES: usize = 5;
 /// How long is waited for what has to come.
-pub(crate) const GIVEN_UP_AFTER: Duration = Duration::from_secs(40);
+pub(crate) const TEST_TIMEOUT: Duration = Duration::from_secs(40);
 /// How long the stage before some requests takes.
 const STAGE_TAKES: Duration = Duration::from_millis(40);
 
 /// A fleet before so many upstreams that end.
-pub(crate) fn fleet(upstreams: usize) -> (Harness, Arc<EndingUpstreams>) {
+pub(crate) fn fleet(upstreams: usize) -> (Harness, Arc<CrashingUpstreams>) {
     let stage = vec![Reply::Late("made", STAGE_TAKES)];
     let mut harness = Harness::start_staged(Vec::new(), stage);
     harness.add_gateways(INSTANCES - 1);
-    let upstreams = EndingUpstreams::start(harness.executor(), &harness.store, upstreams);
+    let upstreams = CrashingUpstreams::start(harness.executor(), &harness.store, upstreams);
     (harness, upstreams)
 }
 
 /// Sends a request again and again, every `pause`, to one instance after the other, for
 /// as long as given. Waits for no answer, and for all of them at the end.
-pub(crate) async fn repeat(
+pub(crate) async fn send_repeatedly(
     harness: &Arc<Harness>,
     path: &'static str,
     pause: Duration,
@@ -58,19 +58,19 @@
 }
 
 /// Does so beside the test.
-pub(crate) fn repeat_beside(
+pub(crate) fn spawn_repeated_sends(
     harness: &Arc<Harness>,
     path: &'static str,
     pause: Duration,
     span: Duration,
 ) -> Task<Vec<Received>> {
     let caller = Arc::clone(harness);
-    harness.spawn(async move { repeat(&caller, path, pause, span).await })
+    harness.spawn(async move { send_repeatedly(&caller, path, pause, span).await })
 }
 
 /// Sends a request until an instance refuses it as one that ends upstreams.
 pub(crate) async fn until_quarantined(harness: &Arc<Harness>, path: &'static str) {
-    let until = Instant::now() + GIVEN_UP_AFTER;
+    let until = Instant::now() + TEST_TIMEOUT;
     for n in 0.. {
         assert!(Instant::now() < until, "it is let in all the time");
         let received = harness.ask_instance(n, path, &format!("{path}-{n}")).await;
@@ -84,7 +84,7 @@
 /// Waits until every instance refuses a request as one that ends upstreams.
 pub(crate) async fn until_quarantined_everywhere(harness: &Arc<Harness>, path: &'static str) {
     until_quarantined(harness, path).await;
-    let until = Instant::now() + GIVEN_UP_AFTER;
+    let until = Instant::now() + TEST_TIMEOUT;
     for n in 0..INSTANCES {
         while !is_quarantined(&harness.ask_instance(n, path, "again").await) {
             assert!(Instant::now() < until, "an instance lets it in");
@@ -98,7 +98,7 @@
     received.status == 503 && received.body == detail
 }
 
-pub(crate) fn runs_of(upstreams: &EndingUpstreams, part: &str) -> usize {
+pub(crate) fn runs_of(upstreams: &CrashingUpstreams, part: &str) -> usize {
     let runs = upstreams.runs();
     runs.iter().filter(|r| r.path.contains(part)).count()
 }
--- a/crates/gateway/tests/whole/fakes/ending_upstreams.rs
+++ b/crates/gateway/tests/whole/fakes/crashing_upstreams.rs
@@ -42,7 +42,7 @@
 
 /// What an upstream was asked to run, and when.
 #[derive(Debug, Clone)]
-pub(crate) struct EndingRun {
+pub(crate) struct UpstreamRun {
     pub(crate) path: String,
     pub(crate) at: Instant,
 }
@@ -50,13 +50,13 @@
 /// Upstreams of one service. One that runs a request with `bad` in its path ends, with
 /// all that it has, and another is in its place a little later.
 #[derive(Debug)]
-pub(crate) struct EndingUpstreams {
+pub(crate) struct CrashingUpstreams {
     executor: Arc<Executor<'static>>,
     store: Arc<FakeStore>,
     places: Mutex<Vec<Place>>,
     names: AtomicUsize,
     turned: AtomicBool,
-    runs: Mutex<Vec<EndingRun>>,
+    runs: Mutex<Vec<UpstreamRun>>,
     ends: Mutex<Vec<Instant>>,
 }
 
@@ -68,18 +68,18 @@
 
 #[derive(Debug)]
 struct At {
-    all: Arc<EndingUpstreams>,
+    all: Arc<CrashingUpstreams>,
     place: usize,
     id: String,
 }
 
-impl EndingUpstreams {
+impl CrashingUpstreams {
     pub(crate) fn start(
         executor: Arc<Executor<'static>>,
         store: &Arc<FakeStore>,
         count: usize,
-    ) -> Arc<EndingUpstreams> {
-        let all = Arc::new(EndingUpstreams {
+    ) -> Arc<CrashingUpstreams> {
+        let all = Arc::new(CrashingUpstreams {
             executor,
             store: Arc::clone(store),
             places: Mutex::default(),
@@ -104,7 +104,7 @@
     }
 
     /// All that was run, in order.
-    pub(crate) fn runs(&self) -> Vec<EndingRun> {
+    pub(crate) fn runs(&self) -> Vec<UpstreamRun> {
         self.runs.lock().expect("a lock").clone()
     }
 
@@ -135,7 +135,7 @@
     /// still has, and another starts.
     pub(crate) fn leave(self: &Arc<Self>, place: usize) {
         let id = self.places()[place].id.clone();
-        self.store.change(Change::UpstreamGone(id.into()));
+        self.store.change(Change::UpstreamRemoved(id.into()));
         let all = Arc::clone(self);
         let ending = async move {
             Timer::after(LEAVES_AFTER).await;
@@ -174,7 +174,7 @@
         let all = Arc::clone(self);
         let back = async move {
             Timer::after(DOWN).await;
-            all.store.change(Change::UpstreamGone(id.into()));
+            all.store.change(Change::UpstreamRemoved(id.into()));
             all.begin(place);
         };
         self.executor.spawn(back).detach();
@@ -186,7 +186,7 @@
         let id = req.headers().get("id").cloned();
         let path = req.uri().path().to_string();
         Box::pin(async move {
-            let run = EndingRun {
+            let run = UpstreamRun {
                 path: path.clone(),
                 at: Instant::now(),
             };
--- a/crates/gateway/tests/whole/fakes/fake_store.rs
+++ b/crates/gateway/tests/whole/fakes/fake_store.rs
@@ -12,12 +12,12 @@
 use compact_str::format_compact;
 use event_listener::Event;
 use jd_gateway::Change;
-use jd_gateway::Items;
+use jd_gateway::ItemBatch;
 use jd_gateway::LeaseId;
-use jd_gateway::Listed;
 use jd_gateway::Page;
 use jd_gateway::QuarantineRecord;
 use jd_gateway::Record;
+use jd_gateway::RecordFilter;
 use jd_gateway::Store;
 use jd_gateway::StoreError;
 use jd_gateway::StoreFuture;
@@ -64,12 +64,12 @@
     watches: AtomicUsize,
     seen: AtomicU64,
     refused_pages: AtomicUsize,
-    first_pages: AtomicUsize,
-    lists: AtomicUsize,
-    samples: AtomicUsize,
+    full_reads: AtomicUsize,
+    instance_list_reads: AtomicUsize,
+    sample_reads: AtomicUsize,
     refused_announcements: AtomicUsize,
     refuses_quarantine: Arc<AtomicBool>,
-    questions: AtomicUsize,
+    revision_reads: AtomicUsize,
 }
 
 impl FakeStore {
@@ -80,7 +80,7 @@
     }
 
     /// The same store as another instance sees it.
-    pub(crate) fn seen_by_another(&self) -> FakeStore {
+    pub(crate) fn for_another_instance(&self) -> FakeStore {
         FakeStore {
             refuses_quarantine: Arc::clone(&self.refuses_quarantine),
             ..FakeStore::of(Arc::clone(&self.said))
@@ -95,22 +95,22 @@
             watches: AtomicUsize::new(0),
             seen: AtomicU64::new(0),
             refused_pages: AtomicUsize::new(0),
-            first_pages: AtomicUsize::new(0),
-            lists: AtomicUsize::new(0),
-            samples: AtomicUsize::new(0),
+            full_reads: AtomicUsize::new(0),
+            instance_list_reads: AtomicUsize::new(0),
+            sample_reads: AtomicUsize::new(0),
             refused_announcements: AtomicUsize::new(0),
             refuses_quarantine: Arc::default(),
-            questions: AtomicUsize::new(0),
+            revision_reads: AtomicUsize::new(0),
         }
     }
 
     /// Makes the store refuse every call, or serve again.
-    pub(crate) fn set_away(&self, away: bool) {
+    pub(crate) fn set_unavailable(&self, away: bool) {
         *self.away.lock().expect("a lock") = away;
     }
 
     /// Makes the store answer nothing any more, to watches that wait neither.
-    pub(crate) fn fall_silent(&self) {
+    pub(crate) fn stop_answering(&self) {
         self.silent.store(true, Ordering::Relaxed);
     }
 
@@ -143,7 +143,7 @@
     }
 
     /// Who wrote entries of instances, in the order in which they did.
-    pub(crate) fn announced(&self) -> Vec<Incarnation> {
+    pub(crate) fn announced_instances(&self) -> Vec<Incarnation> {
         let said = self.said.list.lock().expect("a lock");
         let written = said.iter().filter_map(|change| match change {
             Change::Put(Record::Instance(entry)) => Some(entry.incarnation),
@@ -153,7 +153,7 @@
     }
 
     /// True once a watch waits for what comes after the last change.
-    pub(crate) fn is_seen(&self) -> bool {
+    pub(crate) fn is_caught_up(&self) -> bool {
         self.seen.load(Ordering::Relaxed) >= self.now()
     }
 
@@ -174,11 +174,11 @@
     fn listed(&self) -> Vec<usize> {
         let said = self.said.list.lock().expect("a lock");
         let gone = |id: &str| {
-            let is_removal = |c: &Change| matches!(c, Change::UpstreamGone(g) if g == id);
+            let is_removal = |c: &Change| matches!(c, Change::UpstreamRemoved(g) if g == id);
             said.iter().any(is_removal)
         };
         let taken_back = |zone: &Name| {
-            let is_return = |c: &Change| matches!(c, Change::ZoneTakenBack(z) if z == zone);
+            let is_return = |c: &Change| matches!(c, Change::EvacuationEnded(z) if z == zone);
             said.iter().any(is_return)
         };
         let is_listed = |change: &Change| match change {
@@ -186,22 +186,22 @@
             Change::Put(Record::EvacuatedZone(zone)) => !taken_back(zone),
             Change::Put(_) => true,
             Change::UpstreamUnreadable { .. }
-            | Change::UpstreamGone(_)
-            | Change::InstanceGone(_)
-            | Change::QuarantineGone(_)
-            | Change::ZoneTakenBack(_) => false,
+            | Change::UpstreamRemoved(_)
+            | Change::InstanceRemoved(_)
+            | Change::QuarantineRemoved(_)
+            | Change::EvacuationEnded(_) => false,
         };
         let numbered = said.iter().enumerate();
         let listed = numbered.filter(|(_, change)| is_listed(change));
         listed.map(|(place, _)| place).collect()
     }
 
-    fn is_of(&self, what: Listed, place: usize) -> bool {
+    fn is_of(&self, filter: RecordFilter, place: usize) -> bool {
         let said = self.said.list.lock().expect("a lock");
-        match what {
-            Listed::All => true,
-            Listed::Instances => matches!(said[place], Change::Put(Record::Instance(_))),
-            Listed::Sample(bits) => match &said[place] {
+        match filter {
+            RecordFilter::All => true,
+            RecordFilter::Instances => matches!(said[place], Change::Put(Record::Instance(_))),
+            RecordFilter::Sample(bits) => match &said[place] {
                 Change::Put(Record::Instance(entry)) => {
                     entry.incarnation.get() >> 60 == u64::from(bits)
                 }
@@ -211,7 +211,7 @@
     }
 
     /// Refuses the next page that is not a first one, so many times.
-    pub(crate) fn refuse_pages(&self, count: usize) {
+    pub(crate) fn refuse_next_pages(&self, count: usize) {
         self.refused_pages.store(count, Ordering::Relaxed);
     }
 
@@ -233,23 +233,23 @@
     }
 
     /// How often everything was read from the beginning.
-    pub(crate) fn first_pages(&self) -> usize {
-        self.first_pages.load(Ordering::Relaxed)
+    pub(crate) fn full_reads(&self) -> usize {
+        self.full_reads.load(Ordering::Relaxed)
     }
 
     /// How often the instances were read from the beginning.
-    pub(crate) fn lists(&self) -> usize {
-        self.lists.load(Ordering::Relaxed)
+    pub(crate) fn instance_list_reads(&self) -> usize {
+        self.instance_list_reads.load(Ordering::Relaxed)
     }
 
     /// How often a sample of them was read.
-    pub(crate) fn samples(&self) -> usize {
-        self.samples.load(Ordering::Relaxed)
+    pub(crate) fn sample_reads(&self) -> usize {
+        self.sample_reads.load(Ordering::Relaxed)
     }
 
     /// How often its revision was asked for.
-    pub(crate) fn questions(&self) -> usize {
-        self.questions.load(Ordering::Relaxed)
+    pub(crate) fn revision_reads(&self) -> usize {
+        self.revision_reads.load(Ordering::Relaxed)
     }
 
     fn refuses_next_page(&self) -> bool {
@@ -308,19 +308,19 @@
 }
 
 impl Store for FakeStore {
-    fn page<'a>(&'a self, what: Listed, after: &'a str) -> StoreFuture<'a, Page> {
+    fn page<'a>(&'a self, filter: RecordFilter, after: &'a str) -> StoreFuture<'a, Page> {
         if after.is_empty() {
-            let counter = match what {
-                Listed::All => &self.first_pages,
-                Listed::Instances => &self.lists,
-                Listed::Sample(_) => &self.samples,
+            let counter = match filter {
+                RecordFilter::All => &self.full_reads,
+                RecordFilter::Instances => &self.instance_list_reads,
+                RecordFilter::Sample(_) => &self.sample_reads,
             };
             counter.fetch_add(1, Ordering::Relaxed);
         }
         let from = place_of(after).map_or(0, |(_, place)| place + 1);
         let era = self.said.era();
         let revision = at(era, self.len());
-        let wanted = |place: &usize| *place >= from && self.is_of(what, *place);
+        let wanted = |place: &usize| *place >= from && self.is_of(filter, *place);
         let listed = self.listed().into_iter().filter(wanted);
         let mut items: Vec<StoreItem> = listed.map(|place| item(era, place)).collect();
         let more = items.len() > PAGE;
@@ -338,7 +338,7 @@
         })
     }
 
-    fn watch(&self, after: StoreRevision, _wait: Duration) -> StoreFuture<'_, Items> {
+    fn watch(&self, after: StoreRevision, _wait: Duration) -> StoreFuture<'_, ItemBatch> {
         Box::pin(async move {
             let _waiting = Waiting::new(&self.watches);
             let after = after.revision;
@@ -348,7 +348,7 @@
                 let changed = self.said.changed.listen();
                 let revision = self.now();
                 if self.said.era() != era {
-                    return Err(StoreError::Lost);
+                    return Err(StoreError::NoAnswer);
                 }
                 if revision < after {
                     return Err(StoreError::HistoryGone);
@@ -357,7 +357,7 @@
                     let places = after as usize..revision as usize;
                     let items = places.map(|place| item(era, place)).collect();
                     let revision = at(era, revision as usize);
-                    return self.answer(Items { items, revision });
+                    return self.answer(ItemBatch { items, revision });
                 }
                 changed.await;
             }
@@ -370,7 +370,7 @@
     }
 
     fn revision(&self) -> StoreFuture<'_, StoreRevision> {
-        self.questions.fetch_add(1, Ordering::Relaxed);
+        self.revision_reads.fetch_add(1, Ordering::Relaxed);
         Box::pin(async move {
             match self.is_silent() {
                 true => std::future::pending().await,
@@ -419,14 +419,14 @@
         })
     }
 
-    fn remove(&self, id: Incarnation, _written: StoreRevision) -> StoreFuture<'_, ()> {
+    fn remove_instance(&self, id: Incarnation, _written: StoreRevision) -> StoreFuture<'_, ()> {
         self.withdraw(id)
     }
 
     fn withdraw(&self, id: Incarnation) -> StoreFuture<'_, ()> {
         Box::pin(async move {
             self.answer(())?;
-            self.change(Change::InstanceGone(id));
+            self.change(Change::InstanceRemoved(id));
             Ok(())
         })
     }
--- a/crates/gateway/tests/whole/fakes/harness.rs
+++ b/crates/gateway/tests/whole/fakes/harness.rs
@@ -197,9 +197,9 @@
     /// not first ones, or every call if `away`; the store as it sees it.
     pub(crate) fn add_gateway(&mut self, refused_pages: usize, away: bool) -> Arc<FakeStore> {
         let executor = self.workers.executor();
-        let store = Arc::new(self.store.seen_by_another());
-        store.refuse_pages(refused_pages);
-        store.set_away(away);
+        let store = Arc::new(self.store.for_another_instance());
+        store.refuse_next_pages(refused_pages);
+        store.set_unavailable(away);
         let started = start_gateway(&executor, &self.pool, &store);
         self.fleet.push(Member {
             store: Arc::clone(&store),
@@ -228,7 +228,7 @@
 
     /// Waits until two gateways watch the store, and have seen all that it holds.
     pub(crate) async fn until_two_watch(&self) {
-        let watch = |s: &&Arc<FakeStore>| s.watches() > 0 && s.is_seen();
+        let watch = |s: &&Arc<FakeStore>| s.watches() > 0 && s.is_caught_up();
         let all = || self.stores().map(|s| s.watches()).sum::<usize>();
         while self.stores().filter(watch).count() != 2 || all() != 2 {
             Timer::after(Duration::from_millis(5)).await;
@@ -241,7 +241,7 @@
         let watch = |s: &&Arc<FakeStore>| s.watches() > 0;
         let watching: Vec<&Arc<FakeStore>> = self.stores().filter(watch).collect();
         for store in &watching {
-            store.set_away(true);
+            store.set_unavailable(true);
         }
         let added = self.fleet.iter().map(|m| &m.store);
         added
@@ -252,7 +252,7 @@
     /// Has the store answer nothing any more to the gateways that watch it.
     pub(crate) fn silence_watching(&self) {
         for store in self.stores().filter(|s| s.watches() > 0) {
-            store.fall_silent();
+            store.stop_answering();
         }
     }
 
@@ -280,7 +280,7 @@
     /// Waits until instances have written so many entries; who wrote the last of them.
     pub(crate) async fn until_announced(&self, count: usize) -> Incarnation {
         loop {
-            let written = self.store.announced();
+            let written = self.store.announced_instances();
             match written.last() {
                 Some(last) if written.len() >= count => return *last,
                 _ => Timer::after(Duration::from_millis(5)).await,
--- a/crates/gateway/tests/whole/fakes/mod.rs
+++ b/crates/gateway/tests/whole/fakes/mod.rs
@@ -1,18 +1,18 @@
 //! A store, a dialect and upstreams for tests of the whole gateway.
 
+pub(crate) mod crash_fleet;
+mod crashing_upstreams;
 mod deployments;
-pub(crate) mod ending_fleet;
-mod ending_upstreams;
 mod fake_dialect;
 mod fake_store;
 mod fake_upstream;
 mod harness;
-pub(crate) mod noticing;
 mod start_gateway;
+pub(crate) mod upstream_notices;
 
+pub(crate) use crashing_upstreams::CrashingUpstreams;
 pub(crate) use deployments::cold_deployment;
 pub(crate) use deployments::deployment;
-pub(crate) use ending_upstreams::EndingUpstreams;
 pub(crate) use fake_dialect::FakeDialect;
 pub(crate) use fake_store::FakeStore;
 pub(crate) use fake_upstream::FakeUpstream;
--- a/crates/gateway/tests/whole/fakes/noticing.rs
+++ b/crates/gateway/tests/whole/fakes/upstream_notices.rs
@@ -13,7 +13,7 @@
 pub(crate) const PAUSE: Duration = Duration::from_millis(25);
 /// How long what was on its way when a notice came may arrive after it: a quarter of
 /// the users' shortest bound.
-pub(crate) const ON_ITS_WAY: Duration = Duration::from_millis(500);
+pub(crate) const IN_FLIGHT_GRACE: Duration = Duration::from_millis(500);
 /// How long requests come after that.
 pub(crate) const LOAD: Duration = Duration::from_millis(1_500);
 
@@ -36,7 +36,7 @@
     all.iter().filter(|at| **at >= from && **at < to).count()
 }
 
-pub(crate) fn all_served(received: &[Received]) {
+pub(crate) fn assert_all_served(received: &[Received]) {
     let failed: Vec<&Received> = received.iter().filter(|r| r.status != 200).collect();
     assert!(failed.is_empty(), "the others take the rest: {failed:?}");
 }
--- a/crates/gateway/tests/whole/innocents.rs
+++ b/crates/gateway/tests/whole/false_quarantines.rs
@@ -6,15 +6,15 @@
 use async_io::Timer;
 use futures_lite::future::block_on;
 
-use crate::fakes::EndingUpstreams;
+use crate::fakes::CrashingUpstreams;
 use crate::fakes::Harness;
 use crate::fakes::Reply;
-use crate::fakes::ending_fleet::fleet;
-use crate::fakes::ending_fleet::is_quarantined;
-use crate::fakes::ending_fleet::repeat_beside;
-use crate::fakes::ending_fleet::runs_of;
-use crate::fakes::ending_fleet::until_quarantined;
-use crate::fakes::ending_fleet::until_quarantined_everywhere;
+use crate::fakes::crash_fleet::fleet;
+use crate::fakes::crash_fleet::is_quarantined;
+use crate::fakes::crash_fleet::runs_of;
+use crate::fakes::crash_fleet::spawn_repeated_sends;
+use crate::fakes::crash_fleet::until_quarantined;
+use crate::fakes::crash_fleet::until_quarantined_everywhere;
 
 /// After that long what speaks against a request would have been found.
 const FOUND_LATER: Duration = Duration::from_millis(2_000);
@@ -28,7 +28,7 @@
     block_on(async {
         harness.until_all_answer("/any/x", 200).await;
         let span = Duration::from_millis(6_000);
-        let hot = repeat_beside(&harness, "/any/long", Duration::from_millis(60), span);
+        let hot = spawn_repeated_sends(&harness, "/any/long", Duration::from_millis(60), span);
         until_quarantined_everywhere(&harness, "/stream/bad").await;
         let received = hot.await;
         assert!(!received.iter().any(is_quarantined));
@@ -45,7 +45,7 @@
     block_on(async {
         harness.until_all_answer("/any/x", 200).await;
         let span = Duration::from_millis(7_500);
-        let hot = repeat_beside(&harness, "/any/long", Duration::from_millis(40), span);
+        let hot = spawn_repeated_sends(&harness, "/any/long", Duration::from_millis(40), span);
         for _ in 0..4 {
             Timer::after(Duration::from_millis(1_500)).await;
             upstreams.lose_all();
@@ -64,7 +64,7 @@
     block_on(async {
         harness.until_all_answer("/any/x", 200).await;
         let span = Duration::from_millis(6_000);
-        let hot = repeat_beside(&harness, "/resume/long", Duration::from_millis(40), span);
+        let hot = spawn_repeated_sends(&harness, "/resume/long", Duration::from_millis(40), span);
         for place in 0..6 {
             Timer::after(Duration::from_millis(700)).await;
             upstreams.lose(place);
@@ -132,13 +132,13 @@
 #[test]
 fn an_instance_without_proof_quarantines_nobody() {
     let harness = Harness::start(Vec::new());
-    let upstreams = EndingUpstreams::start(harness.executor(), &harness.store, 6);
+    let upstreams = CrashingUpstreams::start(harness.executor(), &harness.store, 6);
     block_on(async {
         harness.until_ready(true).await;
         while harness.ask("/open/x", "known").await.status != 200 {
             Timer::after(Duration::from_millis(10)).await;
         }
-        harness.store.set_away(true);
+        harness.store.set_unavailable(true);
         harness.until_ready(false).await;
         while upstreams.ends().len() < 4 {
             harness.ask("/open/bad", "bad").await;
@@ -146,7 +146,7 @@
         }
         Timer::after(FOUND_LATER).await;
         assert!(!is_quarantined(&harness.ask("/open/bad", "bad").await));
-        harness.store.set_away(false);
+        harness.store.set_unavailable(false);
         let harness = Arc::new(harness);
         until_quarantined(&harness, "/open/bad").await;
     });
--- a/crates/gateway/tests/whole/fleet.rs
+++ b/crates/gateway/tests/whole/fleet.rs
@@ -47,7 +47,7 @@
         let others = harness.turn_away_watching();
         harness.store.change(second_version());
         harness.until_served_by("/added/x", others).await;
-        harness.store.change(Change::UpstreamGone("i-0".into()));
+        harness.store.change(Change::UpstreamRemoved("i-0".into()));
         let mut before = usize::MAX;
         while harness.upstreams[0].count() != before {
             before = harness.upstreams[0].count();
@@ -67,7 +67,7 @@
     let store = harness.add_gateway(2, false);
     block_on(async {
         harness.until_all_answer("/any/x", 200).await;
-        assert_eq!(store.first_pages(), 1);
+        assert_eq!(store.full_reads(), 1);
     });
 }
 
@@ -79,11 +79,11 @@
     let mut harness = Harness::start(vec![vec![Reply::Whole("a")]]);
     let store = harness.add_gateway(0, true);
     block_on(async {
-        while store.samples() < 4 {
+        while store.sample_reads() < 4 {
             Timer::after(Duration::from_millis(5)).await;
         }
-        assert_eq!(store.questions(), 0);
-        store.set_away(false);
+        assert_eq!(store.revision_reads(), 0);
+        store.set_unavailable(false);
         harness.until_all_answer("/any/x", 200).await;
     });
 }
@@ -98,7 +98,7 @@
     let store = harness.add_gateway(0, false);
     block_on(async {
         harness.until_all_answer("/any/x", 200).await;
-        store.set_away(true);
+        store.set_unavailable(true);
         harness.until_all_answer("/any/x", 503).await;
         let asked = FollowRequest {
             after: 1_000,
@@ -134,7 +134,7 @@
     let turned_away = harness.add_gateway(0, false);
     block_on(async {
         harness.until_all_answer("/any/x", 200).await;
-        turned_away.set_away(true);
+        turned_away.set_unavailable(true);
         let mut next = deployment();
         next.version = 2;
         next.routes[0].prefix = "/added/".into();
@@ -165,7 +165,7 @@
     block_on(async {
         harness.until_ready(true).await;
         let id = harness.until_announced(1).await;
-        harness.store.change(Change::InstanceGone(id));
+        harness.store.change(Change::InstanceRemoved(id));
         assert_eq!(harness.until_announced(2).await, id);
     });
 }
@@ -179,7 +179,7 @@
         harness.until_ready(true).await;
         let id = harness.until_announced(1).await;
         harness.store.refuse_announcements(1);
-        harness.store.change(Change::InstanceGone(id));
+        harness.store.change(Change::InstanceRemoved(id));
         assert_eq!(harness.until_announced(2).await, id);
     });
 }
@@ -199,9 +199,13 @@
     let stores: Vec<_> = (0..4).map(|_| harness.add_gateway(0, false)).collect();
     block_on(async {
         harness.until_all_answer("/any/x", 200).await;
-        let read = |s: &&Arc<FakeStore>| s.first_pages() > 0;
+        let read = |s: &&Arc<FakeStore>| s.full_reads() > 0;
         assert!(stores.iter().filter(read).count() <= 2);
-        assert!(stores.iter().all(|s| s.lists() <= 1 && s.samples() == 1));
+        assert!(
+            stores
+                .iter()
+                .all(|s| s.instance_list_reads() <= 1 && s.sample_reads() == 1)
+        );
     });
 }
 
--- a/crates/gateway/tests/whole/leaving.rs
+++ b/crates/gateway/tests/whole/leaving.rs
@@ -16,13 +16,13 @@
 use crate::fakes::Harness;
 use crate::fakes::Received;
 use crate::fakes::Reply;
-use crate::fakes::ending_fleet::repeat;
-use crate::fakes::noticing::LOAD;
-use crate::fakes::noticing::ON_ITS_WAY;
-use crate::fakes::noticing::PAUSE;
-use crate::fakes::noticing::all_served;
-use crate::fakes::noticing::arrivals;
-use crate::fakes::noticing::gateway;
+use crate::fakes::crash_fleet::send_repeatedly;
+use crate::fakes::upstream_notices::IN_FLIGHT_GRACE;
+use crate::fakes::upstream_notices::LOAD;
+use crate::fakes::upstream_notices::PAUSE;
+use crate::fakes::upstream_notices::arrivals;
+use crate::fakes::upstream_notices::assert_all_served;
+use crate::fakes::upstream_notices::gateway;
 
 /// Requests go on to an upstream that has said in its answers that it leaves, since the
 /// store goes on listing it as ready.
@@ -35,9 +35,9 @@
     block_on(async {
         harness.until_ready(true).await;
         harness.upstreams[leaving].say_leaving();
-        repeat(&harness, path, PAUSE, ON_ITS_WAY).await;
+        send_repeatedly(&harness, path, PAUSE, IN_FLIGHT_GRACE).await;
         let counted = Instant::now();
-        all_served(&repeat(&harness, path, PAUSE, LOAD).await);
+        assert_all_served(&send_repeatedly(&harness, path, PAUSE, LOAD).await);
         let late = arrivals(&harness.upstreams[leaving], counted, Instant::now());
         assert_eq!(late, 0, "sent after it had said that it leaves");
     });
@@ -50,14 +50,14 @@
     let harness = gateway(3);
     block_on(async {
         harness.until_ready(true).await;
-        harness.store.set_away(true);
+        harness.store.set_unavailable(true);
         harness.upstreams[0].say_leaving();
-        repeat(&harness, "/open/x", PAUSE, ON_ITS_WAY).await;
+        send_repeatedly(&harness, "/open/x", PAUSE, IN_FLIGHT_GRACE).await;
         let counted = Instant::now();
-        all_served(&repeat(&harness, "/open/x", PAUSE, LOAD).await);
-        harness.store.set_away(false);
+        assert_all_served(&send_repeatedly(&harness, "/open/x", PAUSE, LOAD).await);
+        harness.store.set_unavailable(false);
         harness.make_cold(0, Duration::ZERO);
-        all_served(&repeat(&harness, "/open/x", PAUSE, LOAD).await);
+        assert_all_served(&send_repeatedly(&harness, "/open/x", PAUSE, LOAD).await);
         let late = arrivals(&harness.upstreams[0], counted, Instant::now());
         assert_eq!(late, 0, "sent after it had said that it leaves");
     });
@@ -79,9 +79,9 @@
         harness.upstreams[0].say_leaving();
         drop(held.0);
         assert_eq!(held.1.await.status, 200);
-        harness.store.change(Change::ZoneTakenBack(zone));
+        harness.store.change(Change::EvacuationEnded(zone));
         let counted = Instant::now();
-        all_served(&repeat(&harness, "/any/x", PAUSE, LOAD).await);
+        assert_all_served(&send_repeatedly(&harness, "/any/x", PAUSE, LOAD).await);
         let late = arrivals(&harness.upstreams[0], counted, Instant::now());
         assert_eq!(late, 0, "sent after it had said that it leaves");
     });
@@ -98,9 +98,9 @@
             cut: true,
         }]);
         harness.upstreams[0].say_leaving();
-        repeat(&harness, "/any/x", PAUSE, ON_ITS_WAY).await;
+        send_repeatedly(&harness, "/any/x", PAUSE, IN_FLIGHT_GRACE).await;
         let counted = Instant::now();
-        all_served(&repeat(&harness, "/any/x", PAUSE, LOAD).await);
+        assert_all_served(&send_repeatedly(&harness, "/any/x", PAUSE, LOAD).await);
         let late = arrivals(&harness.upstreams[0], counted, Instant::now());
         assert_eq!(late, 0, "sent after it had said that it leaves");
     });
@@ -135,7 +135,7 @@
     block_on(async {
         harness.until_ready(true).await;
         harness.upstreams[0].reply(vec![Reply::Misdirected]);
-        all_served(&repeat(&harness, "/any/x", PAUSE, LOAD).await);
+        assert_all_served(&send_repeatedly(&harness, "/any/x", PAUSE, LOAD).await);
         let sent = harness.upstreams[0].count();
         assert!(sent <= 2, "{sent} requests came back");
         harness.upstreams[0].reply(vec![Reply::Whole("its answer")]);
@@ -172,7 +172,7 @@
 async fn until_left(harness: &Arc<Harness>) {
     loop {
         let asked = harness.upstreams[0].count();
-        repeat(harness, "/any/x", PAUSE, ON_ITS_WAY).await;
+        send_repeatedly(harness, "/any/x", PAUSE, IN_FLIGHT_GRACE).await;
         if harness.upstreams[0].count() == asked {
             return;
         }
--- a/crates/gateway/tests/whole/limits.rs
+++ b/crates/gateway/tests/whole/limits.rs
@@ -28,7 +28,7 @@
 use crate::fakes::Harness;
 use crate::fakes::Received;
 use crate::fakes::Reply;
-use crate::fakes::ending_fleet::repeat;
+use crate::fakes::crash_fleet::send_repeatedly;
 
 /// Instances of the fleet.
 const INSTANCES: usize = 9;
@@ -76,9 +76,9 @@
 async fn load(harness: &Arc<Harness>, path: &'static str) -> (Vec<Received>, Instant) {
     harness.until_ready(true).await;
     harness.until_all_answer("/open/x", 200).await;
-    repeat(harness, path, PAUSE, HEARD_WITHIN).await;
+    send_repeatedly(harness, path, PAUSE, HEARD_WITHIN).await;
     let counted = Instant::now();
-    (repeat(harness, path, PAUSE, LOAD).await, counted)
+    (send_repeatedly(harness, path, PAUSE, LOAD).await, counted)
 }
 
 /// One of several upstreams names a limit, and each instance of the fleet went on as
@@ -145,7 +145,7 @@
         let until = Instant::now() + Duration::from_secs(30);
         loop {
             let before = harness.upstreams[0].count();
-            repeat(&harness, "/any/x", PAUSE, Duration::from_secs(1)).await;
+            send_repeatedly(&harness, "/any/x", PAUSE, Duration::from_secs(1)).await;
             if harness.upstreams[0].count() - before >= 10 {
                 break;
             }
@@ -167,7 +167,7 @@
         let owned = Arc::get_mut(&mut harness).expect("nobody else asks");
         owned.end_gateways(lost);
         let counted = Instant::now();
-        let received = repeat(&harness, "/any/x", PAUSE, LOAD).await;
+        let received = send_repeatedly(&harness, "/any/x", PAUSE, LOAD).await;
         let most = most_arrivals(&harness.upstreams[0], counted);
         assert!(most <= allowed(1.0), "{most} in four seconds");
         let served = received.iter().filter(|r| r.status == 200).count();
--- a/crates/gateway/tests/whole/main.rs
+++ b/crates/gateway/tests/whole/main.rs
@@ -7,8 +7,8 @@
 mod crashes;
 mod evacuation;
 mod fakes;
+mod false_quarantines;
 mod fleet;
-mod innocents;
 mod leaving;
 mod limits;
 
--- a/crates/gateway/tests/whole/requests.rs
+++ b/crates/gateway/tests/whole/requests.rs
@@ -177,12 +177,12 @@
     let harness = Harness::start(vec![vec![Reply::Whole("yours")]]);
     block_on(async {
         harness.until_ready(true).await;
-        harness.store.set_away(true);
+        harness.store.set_unavailable(true);
         harness.until_ready(false).await;
         assert_eq!(harness.ask("/any/x", "1").await.status, 503);
         assert_eq!(harness.ask_with_key("/any/x", "key-2").await.status, 503);
         assert_eq!(asked(&harness), 0);
-        harness.store.set_away(false);
+        harness.store.set_unavailable(false);
         harness.until_ready(true).await;
         assert_eq!(harness.ask("/any/x", "2").await, answered("yours"));
     });
@@ -195,15 +195,15 @@
     let harness = Harness::start(vec![vec![Reply::Whole("a")], vec![Reply::Whole("b")]]);
     block_on(async {
         harness.until_ready(true).await;
-        harness.store.change(Change::UpstreamGone("i-0".into()));
+        harness.store.change(Change::UpstreamRemoved("i-0".into()));
         // Removed after an absence of the store its entry would count as lapsed.
-        while !harness.store.is_seen() {
+        while !harness.store.is_caught_up() {
             async_io::Timer::after(Duration::from_millis(2)).await;
         }
         assert_eq!(harness.ask("/any/x", "1").await, answered("b"));
-        harness.store.set_away(true);
+        harness.store.set_unavailable(true);
         harness.until_ready(false).await;
-        harness.store.set_away(false);
+        harness.store.set_unavailable(false);
         harness.until_ready(true).await;
         let before = harness.upstreams[0].count();
         for _ in 0..30 {
--- a/crates/gateway/tests/whole/restarts.rs
+++ b/crates/gateway/tests/whole/restarts.rs
@@ -14,7 +14,7 @@
 
 /// Waits until the gateway has seen all that the store holds.
 async fn until_seen(harness: &Harness) {
-    while !harness.store.is_seen() {
+    while !harness.store.is_caught_up() {
         Timer::after(Duration::from_millis(2)).await;
     }
 }
@@ -26,7 +26,7 @@
     let harness = Harness::start(vec![vec![Reply::Whole("a")], vec![Reply::Whole("b")]]);
     block_on(async {
         harness.until_ready(true).await;
-        harness.store.change(Change::UpstreamGone("i-1".into()));
+        harness.store.change(Change::UpstreamRemoved("i-1".into()));
         harness.announce("i-0", 1, UpstreamStart::at_millis(9_000));
         until_seen(&harness).await;
         for n in 0..10 {
