--- a/crates/backing-http/src/lib.rs
+++ b/crates/backing-http/src/lib.rs
@@ -21,7 +21,7 @@
 use jd_net::Body;
 use jd_net::HttpPool;
 use jd_net::SendError;
-use jd_net::within;
+use jd_net::with_timeout;
 use serde::de::DeserializeOwned;
 
 /// How long a call may take before its answer counts as lost.
@@ -55,7 +55,9 @@
             .header("host", "platform");
         let req = req.body(body).map_err(|_| KvError::Unavailable)?;
         let asking = self.ask_once(req, patience);
-        let bytes = within(patience, asking).await.ok_or(KvError::Lost)??;
+        let bytes = with_timeout(patience, asking)
+            .await
+            .ok_or(KvError::Lost)??;
         serde_json::from_slice(&bytes).map_err(|_| KvError::Lost)
     }
 
@@ -71,7 +73,7 @@
             Some(Err(SendError::Broken)) | None => return Err(KvError::Lost),
         };
         let status = res.status;
-        let bytes = res.whole(MAX_ANSWER).await.map_err(|_| KvError::Lost)?;
+        let bytes = res.read_all(MAX_ANSWER).await.map_err(|_| KvError::Lost)?;
         match status {
             StatusCode::OK => Ok(bytes),
             StatusCode::SERVICE_UNAVAILABLE => Err(KvError::Unavailable),
--- a/crates/cli/src/operate.rs
+++ b/crates/cli/src/operate.rs
@@ -101,7 +101,7 @@
         address: address.clone(),
     })?;
     let status = res.status;
-    let body = res.whole(MAX_REPLY).await.ok();
+    let body = res.read_all(MAX_REPLY).await.ok();
     let body = body.context(NoAnswerSnafu {
         address: address.clone(),
     })?;
--- a/crates/client/src/directory.rs
+++ b/crates/client/src/directory.rs
@@ -11,7 +11,7 @@
 use jd_net::Clock;
 use jd_net::HttpPool;
 use jd_net::lock;
-use jd_net::within;
+use jd_net::with_timeout;
 use jd_types::MonoTime;
 
 use crate::exchange::request;
@@ -103,10 +103,10 @@
                 .await?
                 .ok()?;
             let ok = res.status == StatusCode::OK;
-            let bytes = res.whole(MAX_ANSWER).await.ok()?;
+            let bytes = res.read_all(MAX_ANSWER).await.ok()?;
             let body: LocateBody = serde_json::from_slice(&bytes).ok()?;
             (ok && !body.addresses.is_empty()).then_some(body)
         };
-        within(LOCATE_WITHIN, asking).await.flatten()
+        with_timeout(LOCATE_WITHIN, asking).await.flatten()
     }
 }
--- a/crates/client/src/exchange.rs
+++ b/crates/client/src/exchange.rs
@@ -13,7 +13,7 @@
 use jd_net::HttpPool;
 use jd_net::HttpResponse;
 use jd_net::SendError;
-use jd_net::within;
+use jd_net::with_timeout;
 
 use crate::Call;
 use crate::Outcome;
@@ -66,7 +66,9 @@
             None => Reply::Silent,
         }
     };
-    within(left, exchanging).await.unwrap_or(Reply::Silent)
+    with_timeout(left, exchanging)
+        .await
+        .unwrap_or(Reply::Silent)
 }
 
 async fn read(res: HttpResponse) -> Reply {
@@ -74,7 +76,7 @@
     let text = |name| CompactString::from(res.header(name).unwrap_or_default());
     let request = text("jd-request");
     let streamed = text("content-type").starts_with("application/x-ndjson");
-    let Ok(bytes) = res.whole(MAX_ANSWER).await else {
+    let Ok(bytes) = res.read_all(MAX_ANSWER).await else {
         return Reply::Broken;
     };
     match status {
--- a/crates/demo/src/injector.rs
+++ b/crates/demo/src/injector.rs
@@ -227,7 +227,7 @@
             return 0;
         };
         node.runs.store(false, Ordering::Relaxed);
-        node.workers.halt();
+        node.workers.suspend();
         Timer::after(PAUSE).await;
         if let Err(e) = node.workers.resume() {
             log::error!(error:% = e; "could not go on");
@@ -261,7 +261,7 @@
         lock(&self.world.nodes).retain(|n| !Arc::ptr_eq(n, node));
         node.entry.stop().await;
         self.world.remove_node(node);
-        node.workers.halt();
+        node.workers.suspend();
     }
 
     fn add(&self, hall: &'static str) -> Option<Arc<Node>> {
--- a/crates/demo/src/operators.rs
+++ b/crates/demo/src/operators.rs
@@ -10,7 +10,7 @@
 use http::Request;
 use jd_entry::QueryReply;
 use jd_net::lock;
-use jd_net::within;
+use jd_net::with_timeout;
 use jd_types::Incarnation;
 use jd_types::MonoTime;
 use jd_types::Revision;
@@ -49,10 +49,10 @@
             .send(address, req, COMMAND_WITHIN, false)
             .await?
             .ok()?;
-        let bytes = res.whole(MAX_REPLY).await.ok()?;
+        let bytes = res.read_all(MAX_REPLY).await.ok()?;
         serde_json::from_slice(&bytes).ok()
     };
-    within(COMMAND_WITHIN, asking).await.flatten()
+    with_timeout(COMMAND_WITHIN, asking).await.flatten()
 }
 
 /// Brings the deployment into force.
--- a/crates/demo/src/run.rs
+++ b/crates/demo/src/run.rs
@@ -9,7 +9,7 @@
 use compact_str::CompactString;
 use compact_str::ToCompactString;
 use jd_net::lock;
-use jd_policy::CostCell;
+use jd_policy::CostTotals;
 use jd_types::Incarnation;
 
 use crate::DemoError;
@@ -189,7 +189,7 @@
 
 /// Cost of every pipeline's stages, from the ledgers of the instances.
 fn costs(world: &World) -> Vec<CostRow> {
-    let mut sums: BTreeMap<(CompactString, u8), CostCell> = BTreeMap::new();
+    let mut sums: BTreeMap<(CompactString, u8), CostTotals> = BTreeMap::new();
     let mut seen: Vec<Incarnation> = Vec::new();
     for node in world.nodes() {
         if seen.contains(&node.entry.incarnation()) {
@@ -205,7 +205,7 @@
             }
         }
     }
-    let row = |((pipeline, stage), c): ((CompactString, u8), CostCell)| CostRow {
+    let row = |((pipeline, stage), c): ((CompactString, u8), CostTotals)| CostRow {
         pipeline,
         stage: stage + 1,
         attempts: c.attempts,
--- a/crates/demo/src/world.rs
+++ b/crates/demo/src/world.rs
@@ -61,7 +61,7 @@
         self.runs.store(false, Ordering::Relaxed);
         self.entry.abort();
         Timer::after(CLOSING).await;
-        self.workers.halt();
+        self.workers.suspend();
     }
 
     /// True unless it stands still or has died.
--- a/crates/entry/src/caller_api.rs
+++ b/crates/entry/src/caller_api.rs
@@ -18,7 +18,7 @@
 use jd_net::Handler;
 use jd_net::HandlerFuture;
 use jd_net::lock;
-use jd_net::within;
+use jd_net::with_timeout;
 use jd_types::CustomerKey;
 use jd_types::Name;
 use jd_types::PipelineKey;
@@ -189,7 +189,7 @@
 
     async fn read_body(&self, req: Request<Incoming>) -> Result<String, Refusal> {
         let limit = self.shared.settings.callers.max_body;
-        let read = within(BODY_WITHIN, jd_net::read_bounded(req.into_body(), limit)).await;
+        let read = with_timeout(BODY_WITHIN, jd_net::read_bounded(req.into_body(), limit)).await;
         let bytes = match read {
             None => return Err(malformed("the body took too long to come")),
             Some(Err(e @ BodyReadError::TooLarge { .. })) => {
@@ -332,7 +332,7 @@
         }
         shared.urgent.notify(1);
         // Woken or late, the loop looks again.
-        let _ = within(until.since(now), moved).await;
+        let _ = with_timeout(until.since(now), moved).await;
     }
 }
 
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -20,8 +20,8 @@
 use jd_net::ServerLimits;
 use jd_net::Workers;
 use jd_net::lock;
-use jd_policy::CostCell;
 use jd_policy::CostKey;
+use jd_policy::CostTotals;
 use jd_settings::Settings;
 use jd_types::Incarnation;
 use jd_types::MemberState;
@@ -186,9 +186,9 @@
     }
 
     /// Cost so far, by customer, pipeline and stage.
-    pub fn costs(&self) -> Vec<(CostKey, CostCell)> {
+    pub fn costs(&self) -> Vec<(CostKey, CostTotals)> {
         lock(&self.shared.ledger)
-            .cells()
+            .totals_by_key()
             .map(|(k, c)| (k.clone(), c))
             .collect()
     }
--- a/crates/entry/src/heartbeat.rs
+++ b/crates/entry/src/heartbeat.rs
@@ -12,8 +12,8 @@
 use jd_coord::News;
 use jd_coord::Pulse;
 use jd_net::lock;
-use jd_net::within;
-use jd_policy::UpstreamReport;
+use jd_net::with_timeout;
+use jd_policy::PeerLoadReport;
 use jd_types::MonoTime;
 use jd_wire::Exchange;
 use jd_wire::ExchangeAnswer;
@@ -123,7 +123,7 @@
     let mut client = PeerClient::new(link.channel.clone());
     let message = ExchangeRequest::from(&question);
     let sent = message.encoded_len();
-    let answer = match within(ANSWER_WITHIN, client.exchange(message)).await {
+    let answer = match with_timeout(ANSWER_WITHIN, client.exchange(message)).await {
         Some(Ok(answer)) => answer.into_inner(),
         Some(Err(_)) => return,
         None => {
@@ -235,9 +235,9 @@
     let loads = hints.iter().map(|h| (h.address, h.in_flight)).collect();
     for (address, in_flight) in lock(&shared.peer_loads).replace(who, loads) {
         if let Some(upstream) = snapshot.by_address.get(&address) {
-            upstream.report(UpstreamReport {
+            upstream.set_peer_load(PeerLoadReport {
                 in_flight,
-                heard: now,
+                received: now,
             });
         }
     }
@@ -252,7 +252,7 @@
             }
             News::Gone(who) => {
                 lock(&shared.loans).forget(*who);
-                lock(&shared.peer_loads).forget(*who);
+                lock(&shared.peer_loads).remove(*who);
                 log::info!(member:% = who; "member gone");
             }
         }
--- a/crates/entry/src/key_routing.rs
+++ b/crates/entry/src/key_routing.rs
@@ -11,7 +11,7 @@
 use jd_coord::RunAnswer;
 use jd_net::SendError;
 use jd_net::lock;
-use jd_net::within;
+use jd_net::with_timeout;
 use jd_types::Incarnation;
 use jd_types::Name;
 use jd_types::Refusal;
@@ -91,7 +91,7 @@
     );
     let link = shared.links.get(member.peers);
     let mut client = PeerClient::new(link.channel.clone());
-    match within(left, client.forward(message)).await {
+    match with_timeout(left, client.forward(message)).await {
         Some(Ok(reply)) => reply_to_answer(req.request, reply.into_inner()),
         // Earlier calls with the key may have reached the owner, so even a
         // call that provably never left is no proof that the key has not run.
--- a/crates/entry/src/operator_api.rs
+++ b/crates/entry/src/operator_api.rs
@@ -15,7 +15,7 @@
 use jd_net::Body;
 use jd_net::Handler;
 use jd_net::HandlerFuture;
-use jd_net::within;
+use jd_net::with_timeout;
 use jd_types::CredentialDigest;
 
 use crate::caller_request::bearer;
@@ -81,7 +81,7 @@
             return plain(StatusCode::UNAUTHORIZED, text);
         };
         let reading = jd_net::read_bounded(req.into_body(), MAX_LINE);
-        let line = match within(LINE_WITHIN, reading).await {
+        let line = match with_timeout(LINE_WITHIN, reading).await {
             Some(Ok(bytes)) => String::from_utf8(bytes.to_vec()).ok(),
             _ => None,
         };
--- a/crates/entry/src/pool_runtime.rs
+++ b/crates/entry/src/pool_runtime.rs
@@ -11,16 +11,16 @@
 use compact_str::CompactString;
 use compact_str::format_compact;
 use jd_net::lock;
-use jd_net::within;
-use jd_policy::Estimate;
-use jd_policy::GatePolicy;
-use jd_policy::Offer;
-use jd_policy::PoolGate;
+use jd_net::with_timeout;
+use jd_policy::AdmissionQueue;
+use jd_policy::LatencyEstimate;
+use jd_policy::PipelineRun;
+use jd_policy::QueueEntry;
+use jd_policy::QueueEntryId;
+use jd_policy::QueuePolicy;
 use jd_policy::RetryBudget;
-use jd_policy::Run;
+use jd_policy::SlotDecision;
 use jd_policy::StageTiming;
-use jd_policy::Ticket;
-use jd_policy::TicketId;
 use jd_types::CustomerKey;
 use jd_types::MonoTime;
 use jd_types::Name;
@@ -41,7 +41,7 @@
     /// The pool's name among the shared limits.
     pub(crate) limit: CompactString,
     /// How long an attempt takes.
-    pub(crate) estimate: Estimate,
+    pub(crate) estimate: LatencyEstimate,
     /// What may be retried.
     pub(crate) budget: RetryBudget,
     gate: Mutex<Gate>,
@@ -50,8 +50,8 @@
 
 #[derive(Debug)]
 struct Gate {
-    gate: PoolGate,
-    waiting: HashMap<TicketId, Sender<()>>,
+    gate: AdmissionQueue,
+    waiting: HashMap<QueueEntryId, Sender<()>>,
 }
 
 /// What a request asks a slot for.
@@ -93,7 +93,7 @@
 /// A place in the queue, given up when dropped.
 struct Queued {
     pool: Arc<PoolRuntime>,
-    id: TicketId,
+    id: QueueEntryId,
     done: bool,
 }
 
@@ -108,11 +108,11 @@
 impl PoolRuntime {
     /// A pool that has no slots until its part of the limit is known.
     pub(crate) fn new(name: &Name, max_queue: usize, retry_percent: u32) -> PoolRuntime {
-        let gate = PoolGate::new(GatePolicy::FairBySlack, 0, max_queue);
+        let gate = AdmissionQueue::new(QueuePolicy::WeightedFair, 0, max_queue);
         PoolRuntime {
             name: name.clone(),
             limit: format_compact!("pool/{name}"),
-            estimate: Estimate::starting_at(FIRST_GUESS),
+            estimate: LatencyEstimate::with_initial(FIRST_GUESS),
             budget: RetryBudget::new(retry_percent, RETRY_BURST),
             gate: Mutex::new(Gate {
                 gate,
@@ -124,17 +124,19 @@
 
     /// What an attempt is expected to take now.
     pub(crate) fn timing(&self) -> StageTiming {
-        let patient = self.estimate.upper(Run::PATIENCE_DEVIATIONS);
+        let timeout = self
+            .estimate
+            .mean_plus_deviations(PipelineRun::TIMEOUT_DEVIATIONS);
         StageTiming {
             mean: self.estimate.mean(),
-            patient,
+            timeout,
         }
     }
 
     /// How long a new request of that priority would wait for a slot.
     pub(crate) fn expected_wait(&self, priority: Priority) -> Duration {
         let gate = lock(&self.gate);
-        match gate.gate.in_use() < gate.gate.capacity() && gate.gate.waiting() == 0 {
+        match gate.gate.in_use() < gate.gate.capacity() && gate.gate.queue_len() == 0 {
             true => Duration::ZERO,
             false => gate.gate.expected_wait(priority, self.estimate.mean()),
         }
@@ -145,7 +147,7 @@
         let gate = lock(&self.gate);
         (
             gate.gate.in_use(),
-            u32::try_from(gate.gate.waiting()).unwrap_or(u32::MAX),
+            u32::try_from(gate.gate.queue_len()).unwrap_or(u32::MAX),
         )
     }
 
@@ -167,8 +169,8 @@
         now: MonoTime,
         req: SlotRequest,
     ) -> Result<Slot, NoSlot> {
-        let id = TicketId(self.tickets.fetch_add(1, Ordering::Relaxed));
-        let ticket = Ticket {
+        let id = QueueEntryId(self.tickets.fetch_add(1, Ordering::Relaxed));
+        let ticket = QueueEntry {
             id,
             customer: req.customer,
             weight: req.weight,
@@ -178,31 +180,31 @@
         let (tx, rx) = async_channel::bounded(1);
         let offer = self.offer(now, ticket, tx);
         let mut queued = match offer {
-            Offer::Start => {
+            SlotDecision::Start => {
                 return Ok(Slot {
                     pool: Arc::clone(self),
                 });
             }
-            Offer::WouldMiss(after) => {
+            SlotDecision::WouldMiss(after) => {
                 return Err(NoSlot {
                     kind: RefusalKind::WouldMiss,
                     after,
                 });
             }
-            Offer::Full => {
+            SlotDecision::Full => {
                 return Err(NoSlot {
                     kind: RefusalKind::Overloaded,
                     after: self.estimate.mean(),
                 });
             }
-            Offer::Queued => Queued {
+            SlotDecision::Queued => Queued {
                 pool: Arc::clone(self),
                 id,
                 done: false,
             },
         };
         let patience = req.latest_start.since(now);
-        match within(patience, rx.recv()).await {
+        match with_timeout(patience, rx.recv()).await {
             Some(Ok(())) => {
                 queued.done = true;
                 Ok(Slot {
@@ -216,10 +218,10 @@
         }
     }
 
-    fn offer(&self, now: MonoTime, ticket: Ticket, tx: Sender<()>) -> Offer {
+    fn offer(&self, now: MonoTime, ticket: QueueEntry, tx: Sender<()>) -> SlotDecision {
         let mut gate = lock(&self.gate);
-        let offer = gate.gate.offer(now, ticket, self.estimate.mean());
-        if offer == Offer::Queued {
+        let offer = gate.gate.request_slot(now, ticket, self.estimate.mean());
+        if offer == SlotDecision::Queued {
             gate.waiting.insert(ticket.id, tx);
         }
         offer
@@ -227,24 +229,24 @@
 
     fn release(&self) {
         let mut gate = lock(&self.gate);
-        gate.gate.release();
+        gate.gate.release_slot();
         start_ready(&mut gate);
     }
 
     /// Leaves the queue; a slot that was given in the meantime goes back.
-    fn leave_queue(&self, id: TicketId) {
+    fn leave_queue(&self, id: QueueEntryId) {
         let mut gate = lock(&self.gate);
         if gate.waiting.remove(&id).is_some() {
             gate.gate.cancel(id);
         } else {
-            gate.gate.release();
+            gate.gate.release_slot();
             start_ready(&mut gate);
         }
     }
 }
 
 fn start_ready(gate: &mut Gate) {
-    while let Some(id) = gate.gate.ready() {
+    while let Some(id) = gate.gate.pop_ready() {
         if let Some(tx) = gate.waiting.remove(&id) {
             // There is room for the one word. A receiver that is gone gives
             // the slot back when its place in the queue is dropped.
--- a/crates/entry/src/queries.rs
+++ b/crates/entry/src/queries.rs
@@ -180,7 +180,7 @@
             reply.row([
                 pool.name.to_compact_string(),
                 u.address.to_compact_string(),
-                u.hall.to_compact_string(),
+                u.zone.to_compact_string(),
                 state.into(),
                 u.in_flight().to_compact_string(),
                 format_compact!("{:.1}", u.latency().as_secs_f64() * 1_000.0),
@@ -328,7 +328,7 @@
     ];
     let mut reply = QueryReply::table(&columns);
     let ledger = lock(&shared.ledger);
-    for (key, cell) in ledger.cells() {
+    for (key, cell) in ledger.totals_by_key() {
         reply.row([
             key.customer.to_compact_string(),
             key.pipeline.to_compact_string(),
@@ -340,7 +340,7 @@
             (cell.wasted_us / 1_000).to_compact_string(),
         ]);
     }
-    let total = ledger.total();
+    let total = ledger.grand_total();
     reply.message = format!(
         "in all {} attempts, {} units used, {} units wasted",
         total.attempts, total.used_units, total.wasted_units
--- a/crates/entry/src/run_driver.rs
+++ b/crates/entry/src/run_driver.rs
@@ -1,4 +1,4 @@
-//! Carries out what a [`Run`] decides.
+//! Carries out what a [`PipelineRun`] decides.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,11 +12,11 @@
 use jd_coord::Answer;
 use jd_coord::RunAnswer;
 use jd_net::lock;
-use jd_policy::CostLine;
+use jd_policy::AttemptCost;
 use jd_policy::Pick;
 use jd_policy::PickRequest;
+use jd_policy::PipelineRun;
 use jd_policy::RoutingPolicy;
-use jd_policy::Run;
 use jd_policy::RunEnd;
 use jd_policy::RunStep;
 use jd_types::AttemptId;
@@ -74,9 +74,9 @@
     shared: &'a Shared,
     req: &'a Admitted,
     out: &'a Sender<Output>,
-    run: Run,
+    run: PipelineRun,
     input: String,
-    lines: Vec<CostLine>,
+    lines: Vec<AttemptCost>,
     last_address: Option<SocketAddr>,
     parts_sent: usize,
 }
@@ -94,7 +94,7 @@
             shared,
             req,
             out,
-            run: Run::new(req.request, req.deadline, stages, timings),
+            run: PipelineRun::new(req.request, req.deadline, stages, timings),
             input: req.body.clone(),
             lines: Vec::new(),
             last_address: None,
@@ -110,14 +110,14 @@
                 RunStep::Dispatch {
                     attempt,
                     latest_start,
-                    patience,
-                } => self.dispatch(attempt, latest_start, patience).await,
+                    timeout,
+                } => self.dispatch(attempt, latest_start, timeout).await,
                 RunStep::LookUp { attempt } => self.look_up(attempt).await,
                 RunStep::End(end) => break end,
             };
         };
         let answered = end == RunEnd::Answered;
-        lock(&self.shared.ledger).enter(&self.lines, answered);
+        lock(&self.shared.ledger).record(&self.lines, answered);
         match end {
             RunEnd::Answered => {
                 let output = self.input.into_bytes().into();
@@ -142,7 +142,7 @@
         let (Some(stage), Some(pool)) = (stage, pool) else {
             return self
                 .run
-                .not_sent(RefusalKind::NoUpstream, "the pool is gone", None);
+                .attempt_not_sent(RefusalKind::NoUpstream, "the pool is gone", None);
         };
         if attempt.attempt == 1 {
             pool.budget.deposit();
@@ -154,16 +154,18 @@
             Ok(slot) => slot,
             Err(no) => {
                 let detail = format_compact!("no slot of {} in time", pool.name);
-                return self.run.not_sent(no.kind, &detail, Some(no.after));
+                return self.run.attempt_not_sent(no.kind, &detail, Some(no.after));
             }
         };
         let Some(pick) = self.pick(&snapshot, stage) else {
             let detail = format_compact!("no upstream of {} left to try", pool.name);
             let after = Some(pool.estimate.mean());
-            return self.run.not_sent(RefusalKind::NoUpstream, &detail, after);
+            return self
+                .run
+                .attempt_not_sent(RefusalKind::NoUpstream, &detail, after);
         };
         self.note_pick(attempt, pool, &pick);
-        self.run.sent(pick.key);
+        self.run.attempt_sent(pick.key);
         let ended = self.send(attempt, stage, pool, &pick, patience).await;
         drop(slot);
         self.settle(attempt, pool, ended).await
@@ -182,7 +184,7 @@
 
     fn pick(&self, snapshot: &Snapshot, stage: CompiledStage) -> Option<Pick> {
         let req = PickRequest {
-            hall: &self.shared.settings.instance.hall,
+            zone: &self.shared.settings.instance.hall,
             affinity: self.prefix(stage),
             exclude: self.run.tried(),
         };
@@ -247,12 +249,12 @@
             patience: patience.min(left),
             left,
         };
-        upstream.started();
+        upstream.attempt_started();
         self.last_address = Some(upstream.address);
         let ended = attempt(self.shared, upstream.address, &work, times, parts).await;
         let now = self.shared.now();
         let took = now.since(began);
-        upstream.finished(now, took, ended.outcome);
+        upstream.attempt_finished(now, took, ended.outcome);
         if ended.outcome == AttemptOutcome::Answered {
             pool.estimate.record(took);
         }
@@ -276,7 +278,7 @@
         let (Some(customer), Some(pipeline)) = (self.req.customer(), self.req.pipeline()) else {
             return;
         };
-        self.lines.push(CostLine {
+        self.lines.push(AttemptCost {
             attempt: id,
             customer: customer.name.clone(),
             pipeline: pipeline.name.clone(),
@@ -303,9 +305,9 @@
             self.input = done.output;
         }
         let now = self.shared.now();
-        let step = self.run.ended(now, id, outcome, &pool.budget);
+        let step = self.run.attempt_ended(now, id, outcome, &pool.budget);
         let step = step.unwrap_or_else(|| {
-            self.run.not_sent(
+            self.run.attempt_not_sent(
                 RefusalKind::UpstreamFailed,
                 "the attempt was not waited for",
                 None,
@@ -338,7 +340,7 @@
         if let Some(Some(output)) = found {
             self.input = output;
         }
-        self.run.looked_up(self.shared.now(), ran)
+        self.run.lookup_finished(self.shared.now(), ran)
     }
 }
 
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -31,7 +31,7 @@
 use jd_net::HttpPool;
 use jd_net::Workers;
 use jd_net::lock;
-use jd_policy::Ledger;
+use jd_policy::CostLedger;
 use jd_policy::PeerLoads;
 use jd_settings::Settings;
 use jd_types::Incarnation;
@@ -80,7 +80,7 @@
     pub(crate) duties: Mutex<Vec<Duty>>,
     pub(crate) outbox: Mutex<Outbox>,
     pub(crate) outbox_waiters: OutboxWaiters,
-    pub(crate) ledger: Mutex<Ledger>,
+    pub(crate) ledger: Mutex<CostLedger>,
     pub(crate) decisions: Mutex<DecisionLog>,
     pub(crate) metrics: Metrics,
     base: AtomicU32,
@@ -263,7 +263,7 @@
             names.push(name);
         }
         for (pool, table) in snapshot.pools.iter().zip(&snapshot.tables) {
-            loans.set_limit(&pool.limit, table.limit());
+            loans.set_limit(&pool.limit, table.max_in_flight());
             names.push(pool.limit.clone());
         }
         loans.retain(|name| names.iter().any(|n| n == name));
--- a/crates/entry/src/upstream_client.rs
+++ b/crates/entry/src/upstream_client.rs
@@ -19,7 +19,7 @@
 use jd_net::Body;
 use jd_net::HttpResponse;
 use jd_net::SendError;
-use jd_net::within;
+use jd_net::with_timeout;
 use jd_types::AttemptOutcome;
 
 use crate::output::Output;
@@ -73,7 +73,7 @@
     parts: Option<&Sender<Output>>,
 ) -> Attempted {
     let reading = attempt_untimed(shared, address, work, times, parts);
-    let ended = within(times.left, reading).await;
+    let ended = with_timeout(times.left, reading).await;
     ended.unwrap_or_else(|| Attempted::ended(AttemptOutcome::TimedOut))
 }
 
@@ -113,7 +113,7 @@
 }
 
 async fn read_whole(res: HttpResponse, work: &WorkRequest, patience: Duration) -> Attempted {
-    let body = match within(patience, res.whole(MAX_ANSWER)).await {
+    let body = match with_timeout(patience, res.read_all(MAX_ANSWER)).await {
         None => return Attempted::ended(AttemptOutcome::Silent),
         Some(Err(_)) => return Attempted::ended(AttemptOutcome::Truncated),
         Some(Ok(body)) => body,
@@ -136,7 +136,7 @@
     let mut output = String::new();
     let mut count = 0;
     loop {
-        let part = match within(patience, res.part()).await {
+        let part = match with_timeout(patience, res.chunk()).await {
             None => {
                 return Attempted {
                     parts: count,
@@ -169,7 +169,7 @@
                 Ok(WorkPart::Done(mut done)) => {
                     done.output = output;
                     // Reading on to the end of the body gives the connection back.
-                    let _ = within(patience, res.part()).await;
+                    let _ = with_timeout(patience, res.chunk()).await;
                     return checked(work, done, count);
                 }
                 Err(_) => {
@@ -261,10 +261,10 @@
             .await?
             .ok()?;
         let status = res.status;
-        let body = res.whole(MAX_ANSWER).await.ok()?;
+        let body = res.read_all(MAX_ANSWER).await.ok()?;
         Some((status, body))
     };
-    within(ASK_WITHIN, asking).await.flatten()
+    with_timeout(ASK_WITHIN, asking).await.flatten()
 }
 
 fn request(method: Method, path: &str, body: Bytes) -> Option<Request<Body>> {
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -56,7 +56,7 @@
 
 impl OpenAttempt {
     pub(crate) fn begin(state: &Arc<State>, call: &Call, chosen: Chosen) -> OpenAttempt {
-        chosen.upstream.started();
+        chosen.upstream.attempt_started();
         OpenAttempt {
             state: Arc::clone(state),
             service: call.service.clone(),
@@ -119,7 +119,7 @@
         }
         let now = self.state.now();
         let took = now.since(self.began);
-        self.chosen.upstream.finished(now, took, outcome);
+        self.chosen.upstream.attempt_finished(now, took, outcome);
         if outcome == AttemptOutcome::Unreachable {
             // It is looked for again when it is no longer left alone, and may have
             // started just before.
--- a/crates/gateway/src/crash_reporter.rs
+++ b/crates/gateway/src/crash_reporter.rs
@@ -7,7 +7,7 @@
 
 use async_io::Timer;
 use compact_str::CompactString;
-use jd_net::Probe;
+use jd_net::ProbeResult;
 use jd_net::lock;
 use jd_serving::BrokenRun;
 use jd_serving::UpstreamEnd;
@@ -161,8 +161,8 @@
             return Seen::Ended;
         }
         match self.state.gate.probe(upstream.address).await {
-            Probe::Refused => Seen::Ended,
-            Probe::Open | Probe::Silent => Seen::There,
+            ProbeResult::Refused => Seen::Ended,
+            ProbeResult::Open | ProbeResult::TimedOut => Seen::There,
         }
     }
 
--- a/crates/gateway/src/event_stream.rs
+++ b/crates/gateway/src/event_stream.rs
@@ -9,7 +9,7 @@
 use jd_net::BodyError;
 use jd_net::HttpResponse;
 use jd_net::SendError;
-use jd_net::within;
+use jd_net::with_timeout;
 use jd_serving::EventSplitter;
 use jd_serving::Repeat;
 use jd_types::AttemptOutcome;
@@ -97,7 +97,7 @@
                 self.open.until_over().await;
                 Some(Err(SendError::Broken))
             };
-            let read = within(wait, response.part()).or(over).await;
+            let read = with_timeout(wait, response.chunk()).or(over).await;
             let outcome = match read {
                 Some(Ok(Some(part))) => match self.splitter.push(&part) {
                     Some(events) => {
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -18,7 +18,7 @@
 use jd_net::Handler;
 use jd_net::HandlerFuture;
 use jd_net::read_bounded;
-use jd_net::within;
+use jd_net::with_timeout;
 use jd_serving::CallHead;
 use jd_serving::Caller;
 use jd_serving::Content;
@@ -164,7 +164,7 @@
             }
         };
         let left = until.since(self.state.now());
-        if within(left, read).await.is_none() {
+        if with_timeout(left, read).await.is_none() {
             log::info!("nothing is known here yet; requests are refused");
         }
     }
@@ -246,12 +246,12 @@
 }
 
 async fn read_body(body: Incoming, limit: usize) -> Result<Bytes, Refusal> {
-    match within(BODY_WITHIN, read_bounded(body, limit)).await {
+    match with_timeout(BODY_WITHIN, read_bounded(body, limit)).await {
         Some(Ok(body)) => Ok(body),
         Some(Err(e @ BodyReadError::TooLarge { .. })) => {
             Err(Refusal::not_run(RefusalKind::TooLarge, e.to_string()))
         }
-        Some(Err(e @ BodyReadError::CutOff)) => {
+        Some(Err(e @ BodyReadError::Truncated)) => {
             Err(Refusal::not_run(RefusalKind::Malformed, e.to_string()))
         }
         None => {
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -261,7 +261,7 @@
     ServerLimits {
         connections: settings.max_connections,
         head_bytes: limits.head_bytes,
-        head_within: limits.idle.max(limits.head_within),
+        head_timeout: limits.idle.max(limits.head_within),
         http1_only: true,
         ..ServerLimits::default()
     }
--- a/crates/gateway/src/limiters.rs
+++ b/crates/gateway/src/limiters.rs
@@ -7,7 +7,7 @@
 
 use compact_str::CompactString;
 use jd_net::lock;
-use jd_net::within;
+use jd_net::with_timeout;
 use jd_serving::LimitNotice;
 use jd_serving::LimiterPart;
 use jd_serving::RateLimiter;
@@ -99,7 +99,7 @@
             let channel = state.channels.to(limiter);
             let mut client = GatewayClient::new(channel.clone());
             let req = peer_limits::permit_request(upstream, notice, priority, state.now());
-            match within(ASK_WITHIN, client.acquire_permit(req)).await {
+            match with_timeout(ASK_WITHIN, client.acquire_permit(req)).await {
                 Some(Ok(reply)) => return peer_limits::decision_of(state, reply.into_inner()),
                 Some(Err(_)) => {}
                 // The connection may be silent for good while new ones work.
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -7,7 +7,7 @@
 
 use async_io::Timer;
 use compact_str::CompactString;
-use jd_net::within;
+use jd_net::with_timeout;
 use jd_serving::Heartbeat;
 use jd_serving::InstanceEntry;
 use jd_serving::JobFailure;
@@ -127,7 +127,7 @@
         let release = ReleaseRequest {
             results: handles.iter().map(CompactString::to_string).collect(),
         };
-        let told = within(BEAT_WITHIN, client.release_results(release)).await;
+        let told = with_timeout(BEAT_WITHIN, client.release_results(release)).await;
         matches!(told, Some(Ok(_)))
     }
 
@@ -136,7 +136,7 @@
     pub(crate) async fn report(&self, coordinator: SocketAddr, report: &Report) -> bool {
         let mut client = GatewayClient::new(self.state.channels.to(coordinator));
         let told = peer_quarantine::wire_report(report, self.state.now());
-        let told = within(BEAT_WITHIN, client.report_crashes(told)).await;
+        let told = with_timeout(BEAT_WITHIN, client.report_crashes(told)).await;
         matches!(told, Some(Ok(_)))
     }
 
@@ -183,7 +183,7 @@
         let mut patience = wait + BEAT_WITHIN;
         loop {
             let sent = self.state.now();
-            let Some(reply) = within(patience, client.follow(asked)).await else {
+            let Some(reply) = with_timeout(patience, client.follow(asked)).await else {
                 // The connection may be silent for good while new ones work.
                 channel.reset();
                 return None;
@@ -228,7 +228,7 @@
             limits: peer_limits::told(&self.state),
         };
         let sent = self.state.now();
-        match within(BEAT_WITHIN, client.beat(beat)).await {
+        match with_timeout(BEAT_WITHIN, client.beat(beat)).await {
             Some(Ok(reply)) => self.take_reply(peer, sent, reply.into_inner()),
             Some(Err(_)) => {}
             // The connection may be silent for good while new ones work.
--- a/crates/gateway/src/plain_call.rs
+++ b/crates/gateway/src/plain_call.rs
@@ -11,7 +11,7 @@
 use http::StatusCode;
 use jd_net::Body;
 use jd_net::SendError;
-use jd_net::within;
+use jd_net::with_timeout;
 use jd_serving::Repeat;
 use jd_types::AttemptOutcome;
 use jd_types::Refusal;
@@ -120,7 +120,9 @@
         open.until_over().await;
         Some(Err(SendError::Broken))
     };
-    let read = within(left, response.whole(MAX_ANSWER)).or(over).await;
+    let read = with_timeout(left, response.read_all(MAX_ANSWER))
+        .or(over)
+        .await;
     let (outcome, detail) = match read {
         Some(Ok(body)) => {
             open.ran();
--- a/crates/gateway/src/result_free.rs
+++ b/crates/gateway/src/result_free.rs
@@ -94,7 +94,7 @@
         let sending = state.gate.send(state, permit, req, CALL_WITHIN, || {});
         match sending.await {
             // Read to its end, so that the connection can be used again.
-            Ok(response) => response.whole(1 << 16).await.is_ok(),
+            Ok(response) => response.read_all(1 << 16).await.is_ok(),
             Err(_) => false,
         }
     }
--- a/crates/gateway/src/send_gate.rs
+++ b/crates/gateway/src/send_gate.rs
@@ -11,7 +11,7 @@
 use jd_net::Body;
 use jd_net::HttpPool;
 use jd_net::HttpResponse;
-use jd_net::Probe;
+use jd_net::ProbeResult;
 use jd_net::SendError;
 use jd_net::lock;
 use jd_serving::ColdStart;
@@ -181,11 +181,11 @@
 
     /// Closes idle connections to an address.
     pub(crate) fn forget(&self, address: SocketAddr) {
-        self.pool.forget(address);
+        self.pool.close_idle(address);
     }
 
     /// Whether anybody answers at an address. Nothing is asked there.
-    pub(crate) async fn probe(&self, address: SocketAddr) -> Probe {
+    pub(crate) async fn probe(&self, address: SocketAddr) -> ProbeResult {
         self.pool.probe(address).await
     }
 }
--- a/crates/gateway/src/stage_batches.rs
+++ b/crates/gateway/src/stage_batches.rs
@@ -12,7 +12,7 @@
 use compact_str::CompactString;
 use compact_str::format_compact;
 use jd_net::lock;
-use jd_net::within;
+use jd_net::with_timeout;
 use jd_serving::BatchCall;
 use jd_serving::CallResult;
 use jd_serving::Content;
@@ -255,7 +255,7 @@
         if !response.status.is_success() {
             return None;
         }
-        let body = within(ROOM_WITHIN, response.whole(MAX_ANSWER)).await?;
+        let body = with_timeout(ROOM_WITHIN, response.read_all(MAX_ANSWER)).await?;
         dialect.room_report(&body.ok()?)
     }
 
@@ -322,7 +322,7 @@
             status if head.not_run || !status.is_success() => return self.refused(call),
             _ => {}
         }
-        match within(call.patience, response.whole(MAX_ANSWER)).await {
+        match with_timeout(call.patience, response.read_all(MAX_ANSWER)).await {
             Some(Ok(body)) => match dialect.stage_results(&body, call.pieces.len()) {
                 Some(results) => CallResult::Answered(results),
                 None => CallResult::Failed,
--- a/crates/gateway/src/stage_runner.rs
+++ b/crates/gateway/src/stage_runner.rs
@@ -254,7 +254,7 @@
         let table = self.state.upstreams.load();
         let check = self.state.no_check();
         let chosen = table.place(&call.service, now, prompt.session(), instances, &[], &check)?;
-        Some(chosen.upstream.hall.clone())
+        Some(chosen.upstream.zone.clone())
     }
 }
 
--- a/crates/gateway/src/store_link.rs
+++ b/crates/gateway/src/store_link.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use async_io::Timer;
-use jd_net::within;
+use jd_net::with_timeout;
 use jd_serving::NewsSource;
 use jd_serving::SourceState;
 
@@ -52,7 +52,7 @@
         call: impl Future<Output = Result<T, StoreError>>,
     ) -> Result<T, StoreError> {
         self.counts.add(kind);
-        let result = within(patience, call).await;
+        let result = with_timeout(patience, call).await;
         let result = result.unwrap_or(Err(StoreError::Lost));
         let outcome = match &result {
             Ok(_) => "done",
--- a/crates/gateway/src/stream_call.rs
+++ b/crates/gateway/src/stream_call.rs
@@ -7,7 +7,7 @@
 use futures_lite::stream::unfold;
 use http::Response;
 use jd_net::Body;
-use jd_net::within;
+use jd_net::with_timeout;
 use jd_serving::Repeat;
 use jd_types::AttemptOutcome;
 use jd_types::Refusal;
@@ -133,7 +133,7 @@
 async fn failure_body(state: &State, call: &Call, answer: Answer) -> Result<Body, Refusal> {
     let mut open = answer.open;
     let left = call.left(state.now());
-    let read = within(left, answer.response.whole(MAX_FAILURE)).await;
+    let read = with_timeout(left, answer.response.read_all(MAX_FAILURE)).await;
     if let Some(Ok(_)) = &read {
         open.ran();
     }
--- a/crates/gateway/src/upstream_table.rs
+++ b/crates/gateway/src/upstream_table.rs
@@ -212,7 +212,7 @@
             let table = ServiceTable {
                 ids: entries.iter().map(|e| e.id.clone()).collect(),
                 slots,
-                pool: PoolTable::without_prefixes(upstreams, slots, zone),
+                pool: PoolTable::without_affinity(upstreams, slots, zone),
                 known,
             };
             services.insert(service, table);
@@ -238,7 +238,7 @@
     /// The zones of a service's upstreams, one for each of them.
     pub(crate) fn zones(&self, service: &str) -> impl Iterator<Item = &Name> {
         let table = self.services.get(service).into_iter();
-        table.flat_map(|t| t.pool.upstreams().iter().map(|u| &u.hall))
+        table.flat_map(|t| t.pool.upstreams().iter().map(|u| &u.zone))
     }
 
     /// A service's upstreams as their entries announce them.
@@ -250,7 +250,7 @@
                 id: id.clone(),
                 start: known.start,
                 address: known.upstream.address,
-                zone: known.upstream.hall.clone(),
+                zone: known.upstream.zone.clone(),
             })
         })
     }
@@ -306,7 +306,7 @@
         let mut exclude = table.keys_of(tried);
         exclude.extend(table.keys(|id, known| !check.allows(now, id, known)));
         let req = PickRequest {
-            hall: zone,
+            zone,
             affinity: None,
             exclude: &exclude,
         };
--- a/crates/gateway/tests/whole/fakes/harness.rs
+++ b/crates/gateway/tests/whole/fakes/harness.rs
@@ -362,7 +362,7 @@
         let retry = retry.map(Duration::from_millis);
         let mut body = String::new();
         let whole = loop {
-            match response.part().await {
+            match response.chunk().await {
                 Ok(Some(part)) => body.push_str(&String::from_utf8_lossy(&part)),
                 Ok(None) => break true,
                 Err(_) => break false,
--- a/crates/lab/src/experiment/event.rs
+++ b/crates/lab/src/experiment/event.rs
@@ -2,7 +2,7 @@
 
 use std::cmp::Ordering;
 
-use jd_policy::TicketId;
+use jd_policy::QueueEntryId;
 use jd_types::AttemptId;
 use jd_types::MonoTime;
 
@@ -19,7 +19,7 @@
     Expire {
         instance: usize,
         pool: usize,
-        ticket: TicketId,
+        ticket: QueueEntryId,
     },
     /// Instances exchange heartbeats.
     Beat,
--- a/crates/lab/src/experiment/instance.rs
+++ b/crates/lab/src/experiment/instance.rs
@@ -4,11 +4,11 @@
 use std::time::Duration;
 
 use jd_coord::LoanBook;
-use jd_policy::Estimate;
-use jd_policy::PoolGate;
+use jd_policy::AdmissionQueue;
+use jd_policy::LatencyEstimate;
+use jd_policy::PipelineRun;
 use jd_policy::PoolTable;
 use jd_policy::RetryBudget;
-use jd_policy::Run;
 use jd_policy::StageTiming;
 use jd_policy::Upstream;
 use jd_standins::Deployment;
@@ -30,9 +30,9 @@
 /// One pool as one instance sees it.
 #[derive(Debug)]
 pub(super) struct PoolView {
-    pub(super) gate: PoolGate,
+    pub(super) gate: AdmissionQueue,
     pub(super) table: PoolTable,
-    pub(super) estimate: Estimate,
+    pub(super) estimate: LatencyEstimate,
     pub(super) budget: RetryBudget,
     pub(super) limit: String,
 }
@@ -63,11 +63,11 @@
                 .collect();
             first += pool.count;
             let table = PoolTable::new(upstreams?, pool.slots, &hall);
-            loans.set_limit(&limit, table.limit());
+            loans.set_limit(&limit, table.max_in_flight());
             pools.push(PoolView {
-                gate: PoolGate::new(variant.gate(), 0, MAX_QUEUE),
+                gate: AdmissionQueue::new(variant.gate(), 0, MAX_QUEUE),
                 table,
-                estimate: Estimate::starting_at(Duration::from_millis(20)),
+                estimate: LatencyEstimate::with_initial(Duration::from_millis(20)),
                 budget: RetryBudget::new(variant.retry_percent(), RETRY_BURST),
                 limit,
             });
@@ -96,7 +96,7 @@
             let in_use = pool.gate.in_use();
             self.loans.set_in_use(&pool.limit, in_use);
             self.loans
-                .set_queued(&pool.limit, pool.gate.waiting() as u32);
+                .set_queued(&pool.limit, pool.gate.queue_len() as u32);
             let usable = self
                 .loans
                 .usable(now, Instance::base(), &pool.limit, now + HORIZON);
@@ -112,7 +112,7 @@
         let estimate = &self.pools[pool].estimate;
         StageTiming {
             mean: estimate.mean(),
-            patient: estimate.upper(Run::PATIENCE_DEVIATIONS),
+            timeout: estimate.mean_plus_deviations(PipelineRun::TIMEOUT_DEVIATIONS),
         }
     }
 }
--- a/crates/lab/src/experiment/request.rs
+++ b/crates/lab/src/experiment/request.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use jd_policy::Run;
+use jd_policy::PipelineRun;
 use jd_policy::Upstream;
 use jd_types::AttemptId;
 use jd_types::MonoTime;
@@ -16,7 +16,7 @@
 pub(super) struct Request {
     pub(super) call: Arrival,
     pub(super) deadline: MonoTime,
-    pub(super) run: Run,
+    pub(super) run: PipelineRun,
     /// The attempt that is under way or waits for a slot.
     pub(super) now_at: Option<UnderWay>,
     pub(super) ended: bool,
--- a/crates/lab/src/experiment/variant.rs
+++ b/crates/lab/src/experiment/variant.rs
@@ -1,6 +1,6 @@
 //! What is compared.
 
-use jd_policy::GatePolicy;
+use jd_policy::QueuePolicy;
 use jd_policy::RoutingPolicy;
 use serde::Serialize;
 
@@ -63,10 +63,10 @@
         }
     }
 
-    pub(super) const fn gate(self) -> GatePolicy {
+    pub(super) const fn gate(self) -> QueuePolicy {
         match self {
-            Variant::NoAdmission | Variant::FirstCome => GatePolicy::FirstCome,
-            _ => GatePolicy::FairBySlack,
+            Variant::NoAdmission | Variant::FirstCome => QueuePolicy::Fifo,
+            _ => QueuePolicy::WeightedFair,
         }
     }
 
--- a/crates/lab/src/experiment/world.rs
+++ b/crates/lab/src/experiment/world.rs
@@ -6,12 +6,12 @@
 
 use fastrand::Rng;
 use jd_policy::AdmissionCheck;
-use jd_policy::Offer;
-use jd_policy::Run;
+use jd_policy::PipelineRun;
+use jd_policy::QueueEntry;
+use jd_policy::QueueEntryId;
 use jd_policy::RunEnd;
 use jd_policy::RunStep;
-use jd_policy::Ticket;
-use jd_policy::TicketId;
+use jd_policy::SlotDecision;
 use jd_policy::check_deadline;
 use jd_standins::Deployment;
 use jd_types::AttemptId;
@@ -70,7 +70,7 @@
     pub(super) instances: Vec<Instance>,
     pub(super) servers: Vec<Server>,
     pub(super) requests: Vec<Request>,
-    pub(super) tickets: HashMap<(usize, usize, TicketId), usize>,
+    pub(super) tickets: HashMap<(usize, usize, QueueEntryId), usize>,
     pub(super) rng: Rng,
     pub(super) beats: u64,
     pub(super) prompts: u64,
@@ -176,7 +176,7 @@
             .iter()
             .map(|s| {
                 let pool = &instance.pools[s.pool.index()];
-                let free = pool.gate.in_use() < pool.gate.capacity() && pool.gate.waiting() == 0;
+                let free = pool.gate.in_use() < pool.gate.capacity() && pool.gate.queue_len() == 0;
                 let wait = if free {
                     Duration::ZERO
                 } else {
@@ -190,7 +190,7 @@
             check_deadline(self.now, deadline, expected),
             AdmissionCheck::Fits { .. }
         );
-        let run = Run::new(id, deadline, stages, timings);
+        let run = PipelineRun::new(id, deadline, stages, timings);
         let request = Request {
             call,
             deadline,
@@ -214,13 +214,13 @@
             RunStep::Dispatch {
                 attempt,
                 latest_start,
-                patience,
+                timeout,
             } => {
-                self.dispatch(r, attempt, latest_start, patience);
+                self.dispatch(r, attempt, latest_start, timeout);
             }
             // The model's upstreams cannot be asked.
             RunStep::LookUp { .. } => {
-                let step = self.requests[r].run.looked_up(self.now, None);
+                let step = self.requests[r].run.lookup_finished(self.now, None);
                 self.carry_out(r, step);
             }
             RunStep::End(end) => self.end(r, &end),
@@ -262,19 +262,22 @@
             view.budget.deposit();
         }
         self.order += 1;
-        let id = TicketId(self.order);
+        let id = QueueEntryId(self.order);
         let (.., weight, _) = self.deployment.customers[customer];
         let customer = CustomerKey::from_index(customer as u32);
-        let ticket = Ticket {
+        let ticket = QueueEntry {
             id,
             customer,
             weight,
             priority: Priority::Normal,
             latest_start: latest,
         };
-        match view.gate.offer(self.now, ticket, view.estimate.mean()) {
-            Offer::Start => self.send(r),
-            Offer::Queued => {
+        match view
+            .gate
+            .request_slot(self.now, ticket, view.estimate.mean())
+        {
+            SlotDecision::Start => self.send(r),
+            SlotDecision::Queued => {
                 self.tickets.insert((i, pool, id), r);
                 self.push(
                     latest,
@@ -285,17 +288,17 @@
                     },
                 );
             }
-            Offer::WouldMiss(after) => self.not_sent(r, RefusalKind::WouldMiss, after),
-            Offer::Full => self.not_sent(r, RefusalKind::Overloaded, patience),
+            SlotDecision::WouldMiss(after) => self.not_sent(r, RefusalKind::WouldMiss, after),
+            SlotDecision::Full => self.not_sent(r, RefusalKind::Overloaded, patience),
         }
     }
 
     pub(super) fn not_sent(&mut self, r: usize, kind: RefusalKind, after: Duration) {
-        let step = self.requests[r].run.not_sent(kind, "", Some(after));
+        let step = self.requests[r].run.attempt_not_sent(kind, "", Some(after));
         self.carry_out(r, step);
     }
 
-    fn expire(&mut self, i: usize, pool: usize, ticket: TicketId) {
+    fn expire(&mut self, i: usize, pool: usize, ticket: QueueEntryId) {
         if let Some(r) = self.tickets.remove(&(i, pool, ticket)) {
             self.instances[i].pools[pool].gate.cancel(ticket);
             self.not_sent(r, RefusalKind::WouldMiss, Duration::ZERO);
@@ -325,7 +328,7 @@
         let Some(sent) = &way.sent else { return };
         let i = self.requests[r].call.instance;
         let took = self.now.since(sent.at);
-        sent.upstream.finished(self.now, took, outcome);
+        sent.upstream.attempt_finished(self.now, took, outcome);
         debug_assert!(self.requests[r].run.tried().contains(&sent.key));
         if outcome == AttemptOutcome::Answered {
             self.instances[i].pools[way.pool].estimate.record(took);
@@ -334,7 +337,7 @@
         let budget = &self.instances[i].pools[way.pool].budget;
         let step = self.requests[r]
             .run
-            .ended(self.now, attempt, outcome, budget);
+            .attempt_ended(self.now, attempt, outcome, budget);
         self.release(i, way.pool);
         if let Some(step) = step {
             self.carry_out(r, step);
@@ -342,15 +345,15 @@
     }
 
     pub(super) fn release(&mut self, i: usize, pool: usize) {
-        self.instances[i].pools[pool].gate.release();
+        self.instances[i].pools[pool].gate.release_slot();
         self.start_ready(i, pool);
     }
 
     pub(super) fn start_ready(&mut self, i: usize, pool: usize) {
-        while let Some(ticket) = self.instances[i].pools[pool].gate.ready() {
+        while let Some(ticket) = self.instances[i].pools[pool].gate.pop_ready() {
             match self.tickets.remove(&(i, pool, ticket)) {
                 Some(r) => self.send(r),
-                None => self.instances[i].pools[pool].gate.release(),
+                None => self.instances[i].pools[pool].gate.release_slot(),
             }
         }
     }
--- a/crates/lab/src/experiment/world_beat.rs
+++ b/crates/lab/src/experiment/world_beat.rs
@@ -1,6 +1,6 @@
 //! Heartbeats in the event loop: loans and load reports.
 
-use jd_policy::UpstreamReport;
+use jd_policy::PeerLoadReport;
 
 use crate::experiment::event::Event;
 use crate::experiment::instance::Instance;
@@ -14,7 +14,7 @@
     pub(super) fn beat(&mut self) {
         self.beats += 1;
         self.push(self.now + BEAT, Event::Beat);
-        let waiting = |i: &Instance| i.pools.iter().any(|p| p.gate.waiting() > 0);
+        let waiting = |i: &Instance| i.pools.iter().any(|p| p.gate.queue_len() > 0);
         let exchanges = self.beats % CALM_STEPS == 1 || self.instances.iter().any(waiting);
         if exchanges {
             self.exchange();
@@ -51,11 +51,11 @@
                 let sum: u32 = self.instances.iter().map(load).sum();
                 for i in &self.instances {
                     let in_flight = sum - load(i);
-                    let report = UpstreamReport {
+                    let report = PeerLoadReport {
                         in_flight,
-                        heard: self.now,
+                        received: self.now,
                     };
-                    i.pools[pool].table.upstreams()[u].report(report);
+                    i.pools[pool].table.upstreams()[u].set_peer_load(report);
                 }
             }
         }
--- a/crates/lab/src/experiment/world_send.rs
+++ b/crates/lab/src/experiment/world_send.rs
@@ -28,7 +28,7 @@
             .then_some((call.pipeline * 1_000 + call.customer) as u64);
         let instance = &self.instances[call.instance];
         let req = PickRequest {
-            hall: &instance.hall,
+            zone: &instance.hall,
             affinity: prefix,
             exclude: self.requests[r].run.tried(),
         };
@@ -39,9 +39,9 @@
             self.not_sent(r, RefusalKind::NoUpstream, Duration::ZERO);
             return;
         };
-        pick.upstream.started();
+        pick.upstream.attempt_started();
         let server = usize::from(pick.upstream.address.port()) - 1;
-        self.requests[r].run.sent(pick.key);
+        self.requests[r].run.attempt_sent(pick.key);
         let sent = Sent {
             key: pick.key,
             upstream: pick.upstream,
--- a/crates/lab/src/slopes/requests.rs
+++ b/crates/lab/src/slopes/requests.rs
@@ -7,10 +7,10 @@
 use jd_coord::IdempotencyKey;
 use jd_coord::RunAnswer;
 use jd_coord::Runs;
-use jd_policy::GatePolicy;
-use jd_policy::PoolGate;
-use jd_policy::Ticket;
-use jd_policy::TicketId;
+use jd_policy::AdmissionQueue;
+use jd_policy::QueueEntry;
+use jd_policy::QueueEntryId;
+use jd_policy::QueuePolicy;
 use jd_types::CustomerKey;
 use jd_types::Incarnation;
 use jd_types::MonoTime;
@@ -34,9 +34,9 @@
             &WAITING,
             gate,
             |g, n| {
-                g.release();
-                let started = g.ready();
-                let offer = g.offer(
+                g.release_slot();
+                let started = g.pop_ready();
+                let offer = g.request_slot(
                     MonoTime::ZERO,
                     ticket(n + 1_000_000),
                     Duration::from_micros(1),
@@ -56,17 +56,17 @@
     ]
 }
 
-fn gate(waiting: usize) -> PoolGate {
-    let mut gate = PoolGate::new(GatePolicy::FairBySlack, 1, 100_000);
+fn gate(waiting: usize) -> AdmissionQueue {
+    let mut gate = AdmissionQueue::new(QueuePolicy::WeightedFair, 1, 100_000);
     for n in 0..=waiting as u64 {
-        gate.offer(MonoTime::ZERO, ticket(n), Duration::from_micros(1));
+        gate.request_slot(MonoTime::ZERO, ticket(n), Duration::from_micros(1));
     }
     gate
 }
 
-fn ticket(n: u64) -> Ticket {
-    Ticket {
-        id: TicketId(n),
+fn ticket(n: u64) -> QueueEntry {
+    QueueEntry {
+        id: QueueEntryId(n),
         customer: CustomerKey::from_index((n % 50) as u32),
         weight: 1 + (n % 3) as u32,
         priority: Priority::Normal,
--- a/crates/lab/src/slopes/routing.rs
+++ b/crates/lab/src/slopes/routing.rs
@@ -31,7 +31,7 @@
         move |table: &mut PoolTable, n: u64| {
             let affinity = affinity.map(|a| a + n % 64);
             let req = PickRequest {
-                hall: &hall,
+                zone: &hall,
                 affinity,
                 exclude: &[],
             };
@@ -86,9 +86,9 @@
 fn pool(count: usize) -> PoolTable {
     let upstream = |i: usize| {
         let upstream = Upstream::new(address(i), hall_of(i), MonoTime::ZERO);
-        upstream.started();
+        upstream.attempt_started();
         let took = Duration::from_millis(20 + i as u64 % 7);
-        upstream.finished(MonoTime::from_millis(1), took, AttemptOutcome::Answered);
+        upstream.attempt_finished(MonoTime::from_millis(1), took, AttemptOutcome::Answered);
         Arc::new(upstream)
     };
     PoolTable::new((0..count).map(upstream).collect(), 8, &member(0).hall)
--- a/crates/net/src/body.rs
+++ b/crates/net/src/body.rs
@@ -50,14 +50,14 @@
     },
     /// It ended early.
     #[snafu(display("the body was cut off; send it again whole"))]
-    CutOff,
+    Truncated,
 }
 
 /// Reads a body of at most `limit` bytes.
 pub async fn read_bounded(mut body: Incoming, limit: usize) -> Result<Bytes, BodyReadError> {
     let mut buf = BytesMut::new();
     while let Some(frame) = body.frame().await {
-        let frame = frame.map_err(|_| BodyReadError::CutOff)?;
+        let frame = frame.map_err(|_| BodyReadError::Truncated)?;
         if let Ok(data) = frame.into_data() {
             if buf.len() + data.len() > limit {
                 return TooLargeSnafu { limit }.fail();
--- a/crates/net/src/http_pool.rs
+++ b/crates/net/src/http_pool.rs
@@ -16,7 +16,7 @@
 use hyper::client::conn::http1;
 use hyper::client::conn::http1::SendRequest;
 use jd_policy::ConnectionKey;
-use jd_policy::ConnectionWatch;
+use jd_policy::ConnectionMonitor;
 use jd_types::MonoTime;
 use smol_hyper::rt::FuturesIo;
 
@@ -25,7 +25,7 @@
 use crate::HttpResponse;
 use crate::SendError;
 use crate::lock;
-use crate::within;
+use crate::with_timeout;
 
 /// How long a connection may take to open: many round trips within a region. One
 /// whose first packet was lost is sooner opened anew, elsewhere, than waited for:
@@ -55,7 +55,7 @@
 
 #[derive(Debug, Default)]
 struct PerAddress {
-    watch: ConnectionWatch,
+    watch: ConnectionMonitor,
     idle: Vec<Connection>,
 }
 
@@ -74,7 +74,7 @@
     pub(crate) fn heard(&self, c: &Connection) {
         let now = self.clock.now();
         if let Some(per) = self.lock().get_mut(&c.address) {
-            per.watch.heard(now, c.key, false);
+            per.watch.received(now, c.key, false);
         }
     }
 
@@ -83,7 +83,7 @@
         c.idle_since = now;
         let mut addresses = self.lock();
         let per = addresses.entry(c.address).or_default();
-        per.watch.heard(now, c.key, true);
+        per.watch.received(now, c.key, true);
         match per.idle.len() < MAX_IDLE {
             true => per.idle.push(c),
             false => per.watch.closed(c.key),
@@ -126,7 +126,7 @@
         let Some(per) = addresses.get_mut(&address) else {
             return 0;
         };
-        let retired = per.watch.judge(now, key, patience);
+        let retired = per.watch.retire_silent(now, key, patience);
         per.idle.retain(|c| !retired.contains(&c.key));
         retired.len()
     }
@@ -164,7 +164,7 @@
 
     /// Closes the idle connections to an address. Who answered there has ended, and
     /// a request on one of them might wait for an answer that cannot come.
-    pub fn forget(&self, address: SocketAddr) {
+    pub fn close_idle(&self, address: SocketAddr) {
         if let Some(per) = self.shared.lock().get_mut(&address) {
             for c in per.idle.drain(..) {
                 per.watch.closed(c.key);
@@ -173,12 +173,12 @@
     }
 
     /// Whether anybody answers at an address, on a connection of its own.
-    pub async fn probe(&self, address: SocketAddr) -> Probe {
+    pub async fn probe(&self, address: SocketAddr) -> ProbeResult {
         let opening = Async::<TcpStream>::connect(address);
-        match within(CONNECT_WITHIN, opening).await {
-            Some(Ok(_)) => Probe::Open,
-            Some(Err(_)) => Probe::Refused,
-            None => Probe::Silent,
+        match with_timeout(CONNECT_WITHIN, opening).await {
+            Some(Ok(_)) => ProbeResult::Open,
+            Some(Err(_)) => ProbeResult::Refused,
+            None => ProbeResult::TimedOut,
         }
     }
 
@@ -221,7 +221,7 @@
     async fn send_on(&self, mut c: Connection, req: Request<Body>, patience: Duration) -> Sent {
         let (address, key) = (c.address, c.key);
         self.shared.sent(&c);
-        let answer = within(patience, c.sender.try_send_request(req)).await;
+        let answer = with_timeout(patience, c.sender.try_send_request(req)).await;
         match answer {
             Some(Ok(res)) => {
                 self.shared.heard(&c);
@@ -252,7 +252,7 @@
             io.get_ref().set_nodelay(true).ok()?;
             http1::handshake(FuturesIo::new(io)).await.ok()
         };
-        let (sender, driver) = within(CONNECT_WITHIN, opening).await??;
+        let (sender, driver) = with_timeout(CONNECT_WITHIN, opening).await??;
         let now = self.shared.clock.now();
         let key = self
             .shared
@@ -277,13 +277,13 @@
 
 /// What a connection to an address came to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Probe {
+pub enum ProbeResult {
     /// It was opened.
     Open,
     /// It was refused: nobody listens there.
     Refused,
     /// Nothing came back.
-    Silent,
+    TimedOut,
 }
 
 enum Sent {
--- a/crates/net/src/response.rs
+++ b/crates/net/src/http_response.rs
@@ -48,7 +48,7 @@
     }
 
     /// The next part of the body; none at its end.
-    pub async fn part(&mut self) -> Result<Option<Bytes>, SendError> {
+    pub async fn chunk(&mut self) -> Result<Option<Bytes>, SendError> {
         while let Some(frame) = self.body.frame().await {
             let frame = frame.map_err(|_| SendError::Broken)?;
             self.note_progress();
@@ -63,9 +63,9 @@
     }
 
     /// The whole body, at most `limit` bytes of it.
-    pub async fn whole(mut self, limit: usize) -> Result<Bytes, SendError> {
+    pub async fn read_all(mut self, limit: usize) -> Result<Bytes, SendError> {
         let mut buf = BytesMut::new();
-        while let Some(part) = self.part().await? {
+        while let Some(part) = self.chunk().await? {
             if buf.len() + part.len() > limit {
                 return Err(SendError::Broken);
             }
--- a/crates/net/src/http_server.rs
+++ b/crates/net/src/http_server.rs
@@ -29,8 +29,8 @@
 use smol_hyper::rt::SmolTimer;
 
 use crate::Body;
-use crate::bounded_writes::BoundedWrites;
 use crate::lock;
+use crate::write_stall_timeout::WriteStallTimeout;
 
 /// What a handler returns.
 pub type HandlerFuture = Pin<Box<dyn Future<Output = Response<Body>> + Send>>;
@@ -56,9 +56,9 @@
     /// Bytes of a request's head.
     pub head_bytes: usize,
     /// How long a client may take to send a request's head.
-    pub head_within: Duration,
+    pub head_timeout: Duration,
     /// How long a client may take next to nothing of what waits for it.
-    pub taken_within: Duration,
+    pub write_stall_timeout: Duration,
     /// Requests at a time on one HTTP/2 connection.
     pub streams: u32,
     /// True where callers speak HTTP/1.1 only.
@@ -71,8 +71,8 @@
             connections: 4_096,
             headers: 64,
             head_bytes: 16 << 10,
-            head_within: Duration::from_secs(5),
-            taken_within: Duration::from_secs(15),
+            head_timeout: Duration::from_secs(5),
+            write_stall_timeout: Duration::from_secs(15),
             streams: 256,
             http1_only: false,
         }
@@ -199,7 +199,7 @@
         self.open.fetch_add(1, Ordering::Relaxed);
         let guard = OpenGuard(Arc::clone(&self.open));
         let builder = self.builder();
-        let taken_within = lock(&self.limits).taken_within;
+        let write_stall_timeout = lock(&self.limits).write_stall_timeout;
         let handler = Arc::clone(&self.handler);
         let stopped = self.stopped.clone();
         let dropped = self.dropped.clone();
@@ -213,7 +213,7 @@
                 let answer = Arc::clone(&handler).handle(req);
                 async move { Ok::<Response<Body>, Infallible>(answer.await) }
             });
-            let io = FuturesIo::new(BoundedWrites::new(io, taken_within));
+            let io = FuturesIo::new(WriteStallTimeout::new(io, write_stall_timeout));
             let connection = builder.serve_connection(io, service);
             let served = run_until_stopped(connection.into_owned(), stopped);
             let ended = async {
@@ -233,7 +233,7 @@
             .timer(SmolTimer::new())
             .max_headers(limits.headers)
             .max_buf_size(limits.head_bytes.max(LEAST_HEAD_BYTES))
-            .header_read_timeout(limits.head_within);
+            .header_read_timeout(limits.head_timeout);
         builder
             .http2()
             .timer(SmolTimer::new())
@@ -248,7 +248,7 @@
 
 type ServedConnection<S> =
     auto::Connection<'static, CallerIo, S, SmolExecutor<Arc<Executor<'static>>>>;
-type CallerIo = FuturesIo<BoundedWrites<Async<TcpStream>>>;
+type CallerIo = FuturesIo<WriteStallTimeout<Async<TcpStream>>>;
 
 /// Drives a connection; once the server stops, only until its requests are done.
 async fn run_until_stopped<S>(connection: ServedConnection<S>, stopped: Receiver<()>)
--- a/crates/net/src/workers.rs
+++ b/crates/net/src/workers.rs
@@ -35,11 +35,11 @@
 
     /// Stops the threads where they are, as the system does with a process that
     /// it suspends: tasks stay as they are and connections stay open.
-    pub fn halt(&self) {
+    pub fn suspend(&self) {
         lock(&self.running).close();
     }
 
-    /// Goes on after [`Workers::halt`].
+    /// Goes on after [`Workers::suspend`].
     pub fn resume(&self) -> std::io::Result<()> {
         *lock(&self.running) = run_threads(&self.executor, self.threads)?;
         Ok(())
--- a/crates/net/src/bounded_writes.rs
+++ b/crates/net/src/write_stall_timeout.rs
@@ -21,7 +21,7 @@
 /// buffers and the upstream's connection behind it for good, since an answer that is not
 /// written is not asked for its next part and never comes to its deadline.
 #[derive(Debug)]
-pub(crate) struct BoundedWrites<T> {
+pub(crate) struct WriteStallTimeout<T> {
     io: T,
     within: Duration,
     behind: Option<Behind>,
@@ -34,10 +34,10 @@
     taken: usize,
 }
 
-impl<T> BoundedWrites<T> {
+impl<T> WriteStallTimeout<T> {
     /// The connection `io`, whose other end has `within` to take what waits.
-    pub(crate) fn new(io: T, within: Duration) -> BoundedWrites<T> {
-        BoundedWrites {
+    pub(crate) fn new(io: T, within: Duration) -> WriteStallTimeout<T> {
+        WriteStallTimeout {
             io,
             within,
             behind: None,
@@ -69,7 +69,7 @@
     }
 }
 
-impl<T: AsyncRead + Unpin> AsyncRead for BoundedWrites<T> {
+impl<T: AsyncRead + Unpin> AsyncRead for WriteStallTimeout<T> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -79,7 +79,7 @@
     }
 }
 
-impl<T: AsyncWrite + Unpin> AsyncWrite for BoundedWrites<T> {
+impl<T: AsyncWrite + Unpin> AsyncWrite for WriteStallTimeout<T> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/net/tests/slow_readers.rs
+++ b/crates/net/tests/slow_readers.rs
@@ -122,7 +122,7 @@
         ..Endless::default()
     });
     let limits = ServerLimits {
-        taken_within: TAKEN_WITHIN,
+        write_stall_timeout: TAKEN_WITHIN,
         ..ServerLimits::default()
     };
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -164,7 +164,7 @@
 fn one_who_reads_slowly_gets_its_whole_answer() {
     let executor = Arc::new(Executor::new());
     let limits = ServerLimits {
-        taken_within: Duration::from_millis(300),
+        write_stall_timeout: Duration::from_millis(300),
         ..ServerLimits::default()
     };
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
--- a/crates/policy/src/pool_gate.rs
+++ b/crates/policy/src/admission_queue.rs
@@ -9,29 +9,29 @@
 use jd_types::MonoTime;
 use jd_types::Priority;
 
-use crate::Ticket;
-use crate::TicketId;
+use crate::QueueEntry;
+use crate::QueueEntryId;
 
 /// One unit of work, in the units of virtual time.
 const UNIT: u64 = 1 << 16;
 
 /// Which order a gate serves its queue in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum GatePolicy {
+pub enum QueuePolicy {
     /// By priority, then fair by customer's weight, then least slack first;
     /// refuses at once what would start too late.
-    FairBySlack,
+    WeightedFair,
     /// First come, first served, and no refusal but for a full queue. A
     /// baseline to measure against.
-    FirstCome,
+    Fifo,
 }
 
 /// The answer to a ticket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Offer {
+pub enum SlotDecision {
     /// Start now; one slot is taken.
     Start,
-    /// Wait to be named by [`PoolGate::ready`] or [`PoolGate::expired`].
+    /// Wait to be named by [`AdmissionQueue::pop_ready`] or [`AdmissionQueue::pop_expired`].
     Queued,
     /// It would start too late; come back after about that long.
     WouldMiss(Duration),
@@ -51,38 +51,38 @@
 /// # Examples
 ///
 /// ```
-/// use jd_policy::GatePolicy;
-/// use jd_policy::Offer;
-/// use jd_policy::PoolGate;
-/// use jd_policy::Ticket;
-/// use jd_policy::TicketId;
+/// use jd_policy::QueuePolicy;
+/// use jd_policy::SlotDecision;
+/// use jd_policy::AdmissionQueue;
+/// use jd_policy::QueueEntry;
+/// use jd_policy::QueueEntryId;
 /// use jd_types::CustomerKey;
 /// use jd_types::MonoTime;
 /// use jd_types::Priority;
 /// use std::time::Duration;
 ///
-/// let mut gate = PoolGate::new(GatePolicy::FairBySlack, 1, 10);
-/// let ticket = |n| Ticket {
-///     id: TicketId(n),
+/// let mut queue = AdmissionQueue::new(QueuePolicy::WeightedFair, 1, 10);
+/// let ticket = |n| QueueEntry {
+///     id: QueueEntryId(n),
 ///     customer: CustomerKey::from_index(0),
 ///     weight: 1,
 ///     priority: Priority::Normal,
 ///     latest_start: MonoTime::from_millis(15),
 /// };
 /// let service = Duration::from_millis(10);
-/// assert_eq!(gate.offer(MonoTime::ZERO, ticket(1), service), Offer::Start);
-/// assert_eq!(gate.offer(MonoTime::ZERO, ticket(2), service), Offer::Queued);
-/// assert!(matches!(gate.offer(MonoTime::ZERO, ticket(3), service), Offer::WouldMiss(_)));
+/// assert_eq!(queue.request_slot(MonoTime::ZERO, ticket(1), service), SlotDecision::Start);
+/// assert_eq!(queue.request_slot(MonoTime::ZERO, ticket(2), service), SlotDecision::Queued);
+/// assert!(matches!(queue.request_slot(MonoTime::ZERO, ticket(3), service), SlotDecision::WouldMiss(_)));
 /// ```
 #[derive(Debug)]
-pub struct PoolGate {
-    policy: GatePolicy,
+pub struct AdmissionQueue {
+    policy: QueuePolicy,
     capacity: u32,
     in_use: u32,
     max_queue: usize,
-    queued: HashMap<TicketId, (QueueKey, MonoTime)>,
+    queued: HashMap<QueueEntryId, (QueueKey, MonoTime)>,
     order: BTreeSet<QueueKey>,
-    deadlines: BTreeSet<(MonoTime, TicketId)>,
+    deadlines: BTreeSet<(MonoTime, QueueEntryId)>,
     finish: BTreeMap<CustomerKey, u64>,
     queued_by_priority: [usize; Priority::ALL.len()],
     virtual_now: u64,
@@ -96,13 +96,13 @@
     finish: u64,
     latest_start: MonoTime,
     arrival: u64,
-    id: TicketId,
+    id: QueueEntryId,
 }
 
-impl PoolGate {
+impl AdmissionQueue {
     /// A gate with `capacity` slots and room for `max_queue` waiting tickets.
-    pub fn new(policy: GatePolicy, capacity: u32, max_queue: usize) -> PoolGate {
-        PoolGate {
+    pub fn new(policy: QueuePolicy, capacity: u32, max_queue: usize) -> AdmissionQueue {
+        AdmissionQueue {
             policy,
             capacity,
             in_use: 0,
@@ -123,7 +123,7 @@
     }
 
     /// Tickets waiting.
-    pub fn waiting(&self) -> usize {
+    pub fn queue_len(&self) -> usize {
         self.queued.len()
     }
 
@@ -138,32 +138,37 @@
     }
 
     /// Asks for a slot. `service` is how long one holds it on average.
-    pub fn offer(&mut self, now: MonoTime, ticket: Ticket, service: Duration) -> Offer {
+    pub fn request_slot(
+        &mut self,
+        now: MonoTime,
+        ticket: QueueEntry,
+        service: Duration,
+    ) -> SlotDecision {
         if self.in_use < self.capacity && self.queued.is_empty() {
             self.in_use += 1;
-            return Offer::Start;
+            return SlotDecision::Start;
         }
         if self.queued.len() >= self.max_queue {
-            return Offer::Full;
+            return SlotDecision::Full;
         }
         let wait = self.expected_wait(ticket.priority, service);
         let late = now + wait > ticket.latest_start;
         match self.policy {
-            GatePolicy::FairBySlack if late => Offer::WouldMiss(wait),
-            GatePolicy::FairBySlack | GatePolicy::FirstCome => {
+            QueuePolicy::WeightedFair if late => SlotDecision::WouldMiss(wait),
+            QueuePolicy::WeightedFair | QueuePolicy::Fifo => {
                 self.enqueue(ticket);
-                Offer::Queued
+                SlotDecision::Queued
             }
         }
     }
 
     /// Gives a slot back.
-    pub fn release(&mut self) {
+    pub fn release_slot(&mut self) {
         self.in_use = self.in_use.saturating_sub(1);
     }
 
     /// The next ticket that may start, if a slot is free; takes the slot.
-    pub fn ready(&mut self) -> Option<TicketId> {
+    pub fn pop_ready(&mut self) -> Option<QueueEntryId> {
         if self.in_use >= self.capacity {
             return None;
         }
@@ -177,7 +182,7 @@
     /// The next ticket whose latest start has passed; it leaves the queue.
     ///
     /// Such a ticket gets its refusal at once: waiting longer cannot help it.
-    pub fn expired(&mut self, now: MonoTime) -> Option<TicketId> {
+    pub fn pop_expired(&mut self, now: MonoTime) -> Option<QueueEntryId> {
         match self.deadlines.first().copied() {
             Some((latest, id)) if latest < now => {
                 self.cancel(id);
@@ -193,7 +198,7 @@
     }
 
     /// Takes a ticket out of the queue; false if it is not there.
-    pub fn cancel(&mut self, id: TicketId) -> bool {
+    pub fn cancel(&mut self, id: QueueEntryId) -> bool {
         match self.queued.get(&id).copied() {
             Some((key, _)) => {
                 self.order.remove(&key);
@@ -212,15 +217,15 @@
         service.mul_f64(turns)
     }
 
-    fn enqueue(&mut self, ticket: Ticket) {
+    fn enqueue(&mut self, ticket: QueueEntry) {
         self.arrivals += 1;
         let finish = match self.policy {
-            GatePolicy::FirstCome => self.arrivals,
-            GatePolicy::FairBySlack => self.next_finish(&ticket),
+            QueuePolicy::Fifo => self.arrivals,
+            QueuePolicy::WeightedFair => self.next_finish(&ticket),
         };
         let priority = match self.policy {
-            GatePolicy::FirstCome => Priority::High,
-            GatePolicy::FairBySlack => ticket.priority,
+            QueuePolicy::Fifo => Priority::High,
+            QueuePolicy::WeightedFair => ticket.priority,
         };
         let key = QueueKey {
             priority,
@@ -235,7 +240,7 @@
         self.queued_by_priority[priority.index()] += 1;
     }
 
-    fn next_finish(&mut self, ticket: &Ticket) -> u64 {
+    fn next_finish(&mut self, ticket: &QueueEntry) -> u64 {
         let cost = UNIT / u64::from(ticket.weight.max(1));
         let last = self.finish.entry(ticket.customer).or_insert(0);
         *last = (*last).max(self.virtual_now) + cost;
--- a/crates/policy/src/connection_watch.rs
+++ b/crates/policy/src/connection_monitor.rs
@@ -18,7 +18,7 @@
 /// older ones are retired with it; blaming the upstream instead would eject a
 /// healthy one.
 #[derive(Debug, Default)]
-pub struct ConnectionWatch {
+pub struct ConnectionMonitor {
     open: BTreeMap<ConnectionKey, Progress>,
     last_key: u64,
 }
@@ -29,7 +29,7 @@
     last: MonoTime,
 }
 
-impl ConnectionWatch {
+impl ConnectionMonitor {
     /// A connection was opened.
     pub fn opened(&mut self, now: MonoTime) -> ConnectionKey {
         self.last_key += 1;
@@ -53,7 +53,7 @@
     }
 
     /// Something came back on it; `done` if that ends the request.
-    pub fn heard(&mut self, now: MonoTime, key: ConnectionKey, done: bool) {
+    pub fn received(&mut self, now: MonoTime, key: ConnectionKey, done: bool) {
         if let Some(p) = self.open.get_mut(&key) {
             p.last = now;
             p.outstanding -= u32::from(done && p.outstanding > 0);
@@ -68,7 +68,7 @@
     /// Retires a connection on which nothing has been heard for `patience`
     /// with a request outstanding, and every older one that has not been heard
     /// since that request went out. Returns those to close; none if it is fine.
-    pub fn judge(
+    pub fn retire_silent(
         &mut self,
         now: MonoTime,
         key: ConnectionKey,
--- a/crates/policy/src/ledger.rs
+++ b/crates/policy/src/cost_ledger.rs
@@ -9,7 +9,7 @@
 
 /// One attempt's cost. Every attempt leaves exactly one line.
 #[derive(Debug, Clone)]
-pub struct CostLine {
+pub struct AttemptCost {
     /// The attempt.
     pub attempt: AttemptId,
     /// Whose request.
@@ -28,7 +28,7 @@
 
 /// Sums over attempts.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct CostCell {
+pub struct CostTotals {
     /// Attempts.
     pub attempts: u64,
     /// Units of attempts whose answer was used.
@@ -41,9 +41,9 @@
     pub wasted_us: u64,
 }
 
-impl CostCell {
+impl CostTotals {
     /// Adds another sum to this one.
-    pub fn merge(&mut self, other: CostCell) {
+    pub fn merge(&mut self, other: CostTotals) {
         self.attempts += other.attempts;
         self.used_units += other.used_units;
         self.wasted_units += other.wasted_units;
@@ -51,7 +51,7 @@
         self.wasted_us += other.wasted_us;
     }
 
-    fn add(&mut self, line: &CostLine, used: bool) {
+    fn add(&mut self, line: &AttemptCost, used: bool) {
         self.attempts += 1;
         match used {
             true => {
@@ -81,15 +81,15 @@
 /// Cost by customer, pipeline and stage. The cells are sums of the lines, so
 /// they add up to the total exactly, which is what a bill is disputed by.
 #[derive(Debug, Default)]
-pub struct Ledger {
-    cells: BTreeMap<CostKey, CostCell>,
-    total: CostCell,
+pub struct CostLedger {
+    by_key: BTreeMap<CostKey, CostTotals>,
+    total: CostTotals,
 }
 
-impl Ledger {
+impl CostLedger {
     /// Enters the lines of one finished request. `answered` says whether its
     /// caller got the whole answer: if not, even its answered stages are waste.
-    pub fn enter(&mut self, lines: &[CostLine], answered: bool) {
+    pub fn record(&mut self, lines: &[AttemptCost], answered: bool) {
         for line in lines {
             let used = answered && line.outcome == AttemptOutcome::Answered;
             let key = CostKey {
@@ -97,18 +97,18 @@
                 pipeline: line.pipeline.clone(),
                 stage: line.attempt.stage,
             };
-            self.cells.entry(key).or_default().add(line, used);
+            self.by_key.entry(key).or_default().add(line, used);
             self.total.add(line, used);
         }
     }
 
     /// Every cell, in order of its key.
-    pub fn cells(&self) -> impl Iterator<Item = (&CostKey, CostCell)> {
-        self.cells.iter().map(|(key, cell)| (key, *cell))
+    pub fn totals_by_key(&self) -> impl Iterator<Item = (&CostKey, CostTotals)> {
+        self.by_key.iter().map(|(key, cell)| (key, *cell))
     }
 
     /// The sum of all lines.
-    pub fn total(&self) -> CostCell {
+    pub fn grand_total(&self) -> CostTotals {
         self.total
     }
 }
--- a/crates/policy/src/estimate.rs
+++ b/crates/policy/src/latency_estimate.rs
@@ -15,16 +15,16 @@
 /// Kept in atomics without a lock. Two threads that update at once may lose
 /// one of the samples, which an average can bear.
 #[derive(Debug, Default)]
-pub struct Estimate {
+pub struct LatencyEstimate {
     mean_us: AtomicU64,
     deviation_us: AtomicU64,
 }
 
-impl Estimate {
+impl LatencyEstimate {
     /// An estimate that starts from a guess; it counts as one sample.
-    pub fn starting_at(guess: Duration) -> Estimate {
-        let us = as_us(guess);
-        Estimate {
+    pub fn with_initial(initial: Duration) -> LatencyEstimate {
+        let us = as_us(initial);
+        LatencyEstimate {
             mean_us: AtomicU64::new(us),
             deviation_us: AtomicU64::new(us / 2),
         }
@@ -53,7 +53,7 @@
     }
 
     /// The mean plus `count` mean deviations.
-    pub fn upper(&self, count: u32) -> Duration {
+    pub fn mean_plus_deviations(&self, count: u32) -> Duration {
         let spread = Duration::from_micros(self.deviation_us.load(Ordering::Relaxed));
         self.mean() + spread * count
     }
--- a/crates/policy/src/peer_loads.rs
+++ b/crates/policy/src/peer_loads.rs
@@ -37,7 +37,7 @@
     }
 
     /// Forgets a peer that is gone.
-    pub fn forget(&mut self, peer: Incarnation) {
+    pub fn remove(&mut self, peer: Incarnation) {
         self.replace(peer, HashMap::new());
         self.by_peer.remove(&peer);
     }
--- a/crates/policy/src/run.rs
+++ b/crates/policy/src/pipeline_run.rs
@@ -20,7 +20,7 @@
 const MAX_ATTEMPTS: u8 = 3;
 /// An idempotent attempt is given up for silence after its mean plus this many
 /// mean deviations.
-const PATIENCE_DEVIATIONS: u32 = 8;
+const TIMEOUT_DEVIATIONS: u32 = 8;
 /// The least patience with an attempt.
 const MIN_PATIENCE: Duration = Duration::from_millis(100);
 /// When to come back after a failure that was nobody's overload.
@@ -31,8 +31,8 @@
 pub struct StageTiming {
     /// The mean time of an attempt.
     pub mean: Duration,
-    /// The mean plus [`Run::PATIENCE_DEVIATIONS`] deviations.
-    pub patient: Duration,
+    /// The mean plus [`PipelineRun::TIMEOUT_DEVIATIONS`] deviations.
+    pub timeout: Duration,
 }
 
 /// What to do next for a request.
@@ -45,7 +45,7 @@
         /// The last moment at which starting makes sense.
         latest_start: MonoTime,
         /// How long to wait for it once it is sent.
-        patience: Duration,
+        timeout: Duration,
     },
     /// Ask an upstream whether the key has run; the attempt's answer was lost.
     LookUp {
@@ -70,7 +70,7 @@
 ///
 /// Owned by the task that serves the request, so it needs no lock.
 #[derive(Debug)]
-pub struct Run {
+pub struct PipelineRun {
     request: RequestId,
     deadline: MonoTime,
     stages: Vec<CompiledStage>,
@@ -82,9 +82,9 @@
     waiting: Option<AttemptId>,
 }
 
-impl Run {
-    /// Deviations in [`StageTiming::patient`].
-    pub const PATIENCE_DEVIATIONS: u32 = PATIENCE_DEVIATIONS;
+impl PipelineRun {
+    /// Deviations in [`StageTiming::timeout`].
+    pub const TIMEOUT_DEVIATIONS: u32 = TIMEOUT_DEVIATIONS;
 
     /// A request that has not started. `timings` has one entry for each stage.
     pub fn new(
@@ -92,8 +92,8 @@
         deadline: MonoTime,
         stages: Vec<CompiledStage>,
         timings: Vec<StageTiming>,
-    ) -> Run {
-        Run {
+    ) -> PipelineRun {
+        PipelineRun {
             request,
             deadline,
             stages,
@@ -130,12 +130,12 @@
     }
 
     /// An attempt goes out to `upstream`: from here on it may run.
-    pub fn sent(&mut self, upstream: UpstreamKey) {
+    pub fn attempt_sent(&mut self, upstream: UpstreamKey) {
         self.tried.push(upstream);
     }
 
     /// No slot or no upstream could be had for the present attempt.
-    pub fn not_sent(
+    pub fn attempt_not_sent(
         &mut self,
         kind: RefusalKind,
         detail: &str,
@@ -151,7 +151,7 @@
     /// attempt's answer still comes, or one connection's answers come in
     /// another order. Only the attempt in `waiting` can move the request, so
     /// neither can stand in for another's answer or advance a stage twice.
-    pub fn ended(
+    pub fn attempt_ended(
         &mut self,
         now: MonoTime,
         attempt: AttemptId,
@@ -166,7 +166,7 @@
     }
 
     /// The upstream told whether the key ran. `None`: it could not be asked.
-    pub fn looked_up(&mut self, now: MonoTime, ran: Option<bool>) -> RunStep {
+    pub fn lookup_finished(&mut self, now: MonoTime, ran: Option<bool>) -> RunStep {
         match ran {
             Some(true) => self.advance(now),
             // Proved not run, yet not tried again: the first call may still be
@@ -233,18 +233,18 @@
         RunStep::Dispatch {
             attempt,
             latest_start,
-            patience: self.patience(now),
+            timeout: self.attempt_timeout(now),
         }
     }
 
     /// How long to wait for an attempt. One that must not be repeated has all
     /// the time there is: giving up early gains nothing and loses the answer.
-    fn patience(&self, now: MonoTime) -> Duration {
+    fn attempt_timeout(&self, now: MonoTime) -> Duration {
         let left = self.deadline.since(now);
         let timing = self.timings.get(self.at).copied().unwrap_or_default();
         match self.stage() {
             Some(s) if s.idempotent && self.attempt < MAX_ATTEMPTS && !timing.mean.is_zero() => {
-                timing.patient.max(MIN_PATIENCE).min(left)
+                timing.timeout.max(MIN_PATIENCE).min(left)
             }
             _ => left,
         }
--- a/crates/policy/src/pool_table.rs
+++ b/crates/policy/src/pool_table.rs
@@ -41,7 +41,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct PickRequest<'a> {
     /// The hall of the instance that chooses.
-    pub hall: &'a Name,
+    pub zone: &'a Name,
     /// A hash of the prompt's prefix, where the pool's engines cache prefixes.
     pub affinity: Option<u64>,
     /// Upstreams that this stage has tried already.
@@ -92,20 +92,20 @@
 }
 
 impl PoolTable {
-    /// A table of `upstreams` with `slots` each, for an instance in `hall`.
-    pub fn new(upstreams: Vec<Arc<Upstream>>, slots: u32, hall: &Name) -> PoolTable {
+    /// A table of `upstreams` with `slots` each, for an instance in `zone`.
+    pub fn new(upstreams: Vec<Arc<Upstream>>, slots: u32, zone: &Name) -> PoolTable {
         let ring = ring_of(&upstreams);
         PoolTable {
             ring,
-            ..PoolTable::without_prefixes(upstreams, slots, hall)
+            ..PoolTable::without_affinity(upstreams, slots, zone)
         }
     }
 
     /// The same for choices by load alone. The ring of prefixes, which is not made, takes
     /// most of the time that a table takes.
-    pub fn without_prefixes(upstreams: Vec<Arc<Upstream>>, slots: u32, hall: &Name) -> PoolTable {
+    pub fn without_affinity(upstreams: Vec<Arc<Upstream>>, slots: u32, zone: &Name) -> PoolTable {
         let keyed = (0..).map(UpstreamKey::from_index).zip(&upstreams);
-        let near = keyed.filter(|(_, u)| u.hall == *hall);
+        let near = keyed.filter(|(_, u)| u.zone == *zone);
         let near = near.map(|(k, _)| k).collect();
         PoolTable {
             upstreams,
@@ -125,7 +125,7 @@
     /// Requests that all instances together may have at the pool: the slots of
     /// all upstreams that are not leaving, and a quarter more. Choices are not
     /// perfect, and with no more than the slots some would always be idle.
-    pub fn limit(&self) -> u32 {
+    pub fn max_in_flight(&self) -> u32 {
         let staying = self.upstreams.iter().filter(|u| !u.is_leaving()).count();
         let slots = self
             .slots
@@ -233,7 +233,7 @@
         let typical = self.typical_latency();
         let score = |key: UpstreamKey| {
             let upstream = &self.upstreams[key.index()];
-            let far = if upstream.hall == *req.hall {
+            let far = if upstream.zone == *req.zone {
                 1.0
             } else {
                 FAR_PENALTY
--- a/crates/policy/src/ticket.rs
+++ b/crates/policy/src/queue_entry.rs
@@ -6,13 +6,13 @@
 
 /// Identifies a ticket within one gate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct TicketId(pub u64);
+pub struct QueueEntryId(pub u64);
 
 /// What a gate knows of one stage of one request that wants a slot.
 #[derive(Debug, Clone, Copy)]
-pub struct Ticket {
+pub struct QueueEntry {
     /// Its identity, chosen by the caller.
-    pub id: TicketId,
+    pub id: QueueEntryId,
     /// Whose request.
     pub customer: CustomerKey,
     /// That customer's weight, at least 1.
--- a/crates/policy/src/upstream.rs
+++ b/crates/policy/src/upstream.rs
@@ -11,7 +11,7 @@
 use jd_types::MonoTime;
 use jd_types::Name;
 
-use crate::Estimate;
+use crate::LatencyEstimate;
 
 /// Failures in a row that eject an upstream.
 const EJECT_AFTER: u32 = 3;
@@ -26,11 +26,11 @@
 
 /// What somebody else said of an upstream's load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct UpstreamReport {
+pub struct PeerLoadReport {
     /// Requests it has in flight from everybody else.
     pub in_flight: u32,
     /// When we heard it.
-    pub heard: MonoTime,
+    pub received: MonoTime,
 }
 
 /// What one instance knows of one upstream. Shared by all requests and all
@@ -40,7 +40,7 @@
     /// Where it answers.
     pub address: SocketAddr,
     /// The hall that it stands in.
-    pub hall: Name,
+    pub zone: Name,
     since: MonoTime,
     leaving: AtomicBool,
     in_flight: AtomicU32,
@@ -49,16 +49,16 @@
     ejected_until: AtomicU64,
     others: AtomicU32,
     others_heard: AtomicU64,
-    latency: Estimate,
+    latency: LatencyEstimate,
 }
 
 impl Upstream {
     /// An upstream first seen at `since`. An upstream that was there when the
     /// instance started is given [`MonoTime::ZERO`] and has no slow start.
-    pub fn new(address: SocketAddr, hall: Name, since: MonoTime) -> Upstream {
+    pub fn new(address: SocketAddr, zone: Name, since: MonoTime) -> Upstream {
         Upstream {
             address,
-            hall,
+            zone,
             since,
             leaving: AtomicBool::new(false),
             in_flight: AtomicU32::new(0),
@@ -67,7 +67,7 @@
             ejected_until: AtomicU64::new(0),
             others: AtomicU32::new(0),
             others_heard: AtomicU64::new(0),
-            latency: Estimate::default(),
+            latency: LatencyEstimate::default(),
         }
     }
 
@@ -88,19 +88,19 @@
     }
 
     /// A request goes out.
-    pub fn started(&self) {
+    pub fn attempt_started(&self) {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
     }
 
     /// Takes in what others have in flight there.
-    pub fn report(&self, report: UpstreamReport) {
+    pub fn set_peer_load(&self, report: PeerLoadReport) {
         self.others.store(report.in_flight, Ordering::Relaxed);
         self.others_heard
-            .store(report.heard.as_micros(), Ordering::Relaxed);
+            .store(report.received.as_micros(), Ordering::Relaxed);
     }
 
     /// An attempt ended.
-    pub fn finished(&self, now: MonoTime, took: Duration, outcome: AttemptOutcome) {
+    pub fn attempt_finished(&self, now: MonoTime, took: Duration, outcome: AttemptOutcome) {
         let less = |n: u32| n.checked_sub(1);
         // Fails only at zero, where there is nothing to take off.
         let _ = self
--- a/crates/policy/tests/routing.rs
+++ b/crates/policy/tests/routing.rs
@@ -7,17 +7,17 @@
 use std::time::Duration;
 
 use fastrand::Rng;
-use jd_policy::GatePolicy;
-use jd_policy::Offer;
+use jd_policy::AdmissionQueue;
+use jd_policy::PeerLoadReport;
 use jd_policy::PickRequest;
-use jd_policy::PoolGate;
 use jd_policy::PoolTable;
+use jd_policy::QueueEntry;
+use jd_policy::QueueEntryId;
+use jd_policy::QueuePolicy;
 use jd_policy::RetryBudget;
 use jd_policy::RoutingPolicy;
-use jd_policy::Ticket;
-use jd_policy::TicketId;
+use jd_policy::SlotDecision;
 use jd_policy::Upstream;
-use jd_policy::UpstreamReport;
 use jd_types::AttemptOutcome;
 use jd_types::CustomerKey;
 use jd_types::MonoTime;
@@ -52,7 +52,7 @@
     let near = hall("a");
     for n in 0..picks {
         let req = PickRequest {
-            hall: &near,
+            zone: &near,
             affinity,
             exclude: &[],
         };
@@ -72,7 +72,7 @@
     assert_eq!(spread(&table, 400, 1_000, None)[2], 0);
     assert_eq!(spread(&table, 400, 1_000, Some(7))[2], 0);
     assert_eq!(
-        table.limit(),
+        table.max_in_flight(),
         30,
         "three of four with 8 slots, and a quarter more"
     );
@@ -85,8 +85,8 @@
     let table = table(6);
     for u in &table.upstreams()[..5] {
         for _ in 0..3 {
-            u.started();
-            u.finished(at(1_000), ms(5), AttemptOutcome::Failed);
+            u.attempt_started();
+            u.attempt_finished(at(1_000), ms(5), AttemptOutcome::Failed);
         }
         assert!(u.is_ejected(at(1_500)));
     }
@@ -101,8 +101,8 @@
     let table = table(6);
     let bad = &table.upstreams()[0];
     for _ in 0..3 {
-        bad.started();
-        bad.finished(at(1_000), ms(5), AttemptOutcome::Failed);
+        bad.attempt_started();
+        bad.attempt_finished(at(1_000), ms(5), AttemptOutcome::Failed);
     }
     assert_eq!(spread(&table, 300, 1_100, None)[0], 0);
     assert!(
@@ -118,8 +118,8 @@
 fn an_upstream_that_opens_no_connection_is_ejected_at_once() {
     let table = table(6);
     let dark = &table.upstreams()[0];
-    dark.started();
-    dark.finished(at(1_000), ms(300), AttemptOutcome::Unreachable);
+    dark.attempt_started();
+    dark.attempt_finished(at(1_000), ms(300), AttemptOutcome::Unreachable);
     assert_eq!(spread(&table, 300, 1_100, None)[0], 0);
     assert!(spread(&table, 300, 2_100, None)[0] > 0);
 }
@@ -130,8 +130,8 @@
     let table = table(6);
     for (i, u) in table.upstreams().iter().enumerate() {
         for _ in 0..40 {
-            u.started();
-            u.finished(
+            u.attempt_started();
+            u.attempt_finished(
                 at(1_000),
                 ms(if i == 0 { 200 } else { 20 }),
                 AttemptOutcome::Answered,
@@ -146,9 +146,9 @@
 #[test]
 fn an_old_report_counts_less_than_a_fresh_one() {
     let upstream = Upstream::new(([127, 0, 0, 1], 1).into(), hall("a"), MonoTime::ZERO);
-    upstream.report(UpstreamReport {
+    upstream.set_peer_load(PeerLoadReport {
         in_flight: 16,
-        heard: at(1_000),
+        received: at(1_000),
     });
     let score = |now| upstream.score(now, 8, ms(10));
     assert!(score(at(1_000)) > score(at(2_000)));
@@ -178,13 +178,13 @@
         .iter()
         .position(|c| *c == 1)
         .unwrap();
-    (0..10).for_each(|_| table.upstreams()[owner].started());
+    (0..10).for_each(|_| table.upstreams()[owner].attempt_started());
     assert_eq!(spread(&table, 100, 2_000, Some(42))[owner], 0);
 }
 
-fn ticket(id: u64, customer: u32, weight: u32, latest: u64) -> Ticket {
-    Ticket {
-        id: TicketId(id),
+fn ticket(id: u64, customer: u32, weight: u32, latest: u64) -> QueueEntry {
+    QueueEntry {
+        id: QueueEntryId(id),
         customer: CustomerKey::from_index(customer),
         weight,
         priority: Priority::Normal,
@@ -196,20 +196,20 @@
 // behind all of it.
 #[test]
 fn a_burst_delays_only_its_own_sender() {
-    let mut gate = PoolGate::new(GatePolicy::FairBySlack, 1, 1_000);
+    let mut gate = AdmissionQueue::new(QueuePolicy::WeightedFair, 1, 1_000);
     for n in 0..50 {
-        gate.offer(at(0), ticket(n, 0, 1, 60_000), ms(10));
+        gate.request_slot(at(0), ticket(n, 0, 1, 60_000), ms(10));
     }
     assert_eq!(
-        gate.offer(at(0), ticket(100, 1, 1, 60_000), ms(10)),
-        Offer::Queued
+        gate.request_slot(at(0), ticket(100, 1, 1, 60_000), ms(10)),
+        SlotDecision::Queued
     );
-    gate.release();
-    let first = gate.ready();
-    gate.release();
-    let second = gate.ready();
+    gate.release_slot();
+    let first = gate.pop_ready();
+    gate.release_slot();
+    let second = gate.pop_ready();
     assert!(
-        [first, second].contains(&Some(TicketId(100))),
+        [first, second].contains(&Some(QueueEntryId(100))),
         "{first:?} {second:?}"
     );
 }
@@ -218,25 +218,28 @@
 // nothing. What would start too late is refused on arrival, at once.
 #[test]
 fn a_queue_longer_than_the_deadlines_refuses() {
-    let mut gate = PoolGate::new(GatePolicy::FairBySlack, 2, 1_000);
-    let offers: Vec<Offer> = (0..200)
-        .map(|n| gate.offer(at(0), ticket(n, n as u32, 1, 500), ms(100)))
+    let mut gate = AdmissionQueue::new(QueuePolicy::WeightedFair, 2, 1_000);
+    let offers: Vec<SlotDecision> = (0..200)
+        .map(|n| gate.request_slot(at(0), ticket(n, n as u32, 1, 500), ms(100)))
         .collect();
-    let queued = offers.iter().filter(|o| **o == Offer::Queued).count();
+    let queued = offers
+        .iter()
+        .filter(|o| **o == SlotDecision::Queued)
+        .count();
     assert!((8..=10).contains(&queued), "{queued} wait");
-    assert!(matches!(offers[199], Offer::WouldMiss(after) if after > ms(400)));
+    assert!(matches!(offers[199], SlotDecision::WouldMiss(after) if after > ms(400)));
 }
 
 // A refusal is held back until the deadline although nothing can help any more.
 #[test]
 fn a_ticket_past_its_latest_start_leaves_at_once() {
-    let mut gate = PoolGate::new(GatePolicy::FairBySlack, 1, 10);
-    gate.offer(at(0), ticket(1, 0, 1, 100), ms(10));
-    gate.offer(at(0), ticket(2, 0, 1, 100), ms(10));
-    assert_eq!(gate.expired(at(100)), None);
-    assert_eq!(gate.expired(at(101)), Some(TicketId(2)));
-    gate.release();
-    assert_eq!(gate.ready(), None);
+    let mut gate = AdmissionQueue::new(QueuePolicy::WeightedFair, 1, 10);
+    gate.request_slot(at(0), ticket(1, 0, 1, 100), ms(10));
+    gate.request_slot(at(0), ticket(2, 0, 1, 100), ms(10));
+    assert_eq!(gate.pop_expired(at(100)), None);
+    assert_eq!(gate.pop_expired(at(101)), Some(QueueEntryId(2)));
+    gate.release_slot();
+    assert_eq!(gate.pop_ready(), None);
 }
 
 // A pool slows down, everybody tries again, and it stays down.
--- a/crates/policy/tests/runs.rs
+++ b/crates/policy/tests/runs.rs
@@ -4,11 +4,11 @@
 
 use std::time::Duration;
 
-use jd_policy::ConnectionWatch;
-use jd_policy::CostLine;
-use jd_policy::Ledger;
+use jd_policy::AttemptCost;
+use jd_policy::ConnectionMonitor;
+use jd_policy::CostLedger;
+use jd_policy::PipelineRun;
 use jd_policy::RetryBudget;
-use jd_policy::Run;
 use jd_policy::RunEnd;
 use jd_policy::RunStep;
 use jd_policy::StageTiming;
@@ -52,12 +52,12 @@
     }
 }
 
-fn run(stages: &[CompiledStage]) -> Run {
+fn run(stages: &[CompiledStage]) -> PipelineRun {
     let timing = StageTiming {
         mean: ms(10),
-        patient: ms(50),
+        timeout: ms(50),
     };
-    Run::new(
+    PipelineRun::new(
         REQUEST,
         at(3_000),
         stages.to_vec(),
@@ -86,21 +86,21 @@
     let budget = RetryBudget::new(10, 5);
     let mut run = run(&[stage(true, false), stage(true, false)]);
     let first = dispatched(&run.start(at(0)));
-    run.sent(UpstreamKey::from_index(0));
+    run.attempt_sent(UpstreamKey::from_index(0));
     let step = run
-        .ended(at(100), first, AttemptOutcome::Silent, &budget)
+        .attempt_ended(at(100), first, AttemptOutcome::Silent, &budget)
         .unwrap();
     let second = dispatched(&step);
     assert_eq!(
-        run.ended(at(110), first, AttemptOutcome::Answered, &budget),
+        run.attempt_ended(at(110), first, AttemptOutcome::Answered, &budget),
         None
     );
     let next = run
-        .ended(at(120), second, AttemptOutcome::Answered, &budget)
+        .attempt_ended(at(120), second, AttemptOutcome::Answered, &budget)
         .unwrap();
     assert_eq!(dispatched(&next).stage, 1);
     assert_eq!(
-        run.ended(at(130), second, AttemptOutcome::Answered, &budget),
+        run.attempt_ended(at(130), second, AttemptOutcome::Answered, &budget),
         None
     );
 }
@@ -115,8 +115,10 @@
     let budget = RetryBudget::new(100, 50);
     let mut run = run(&[stage(false, false)]);
     let attempt = dispatched(&run.start(at(0)));
-    run.sent(UpstreamKey::from_index(0));
-    let step = run.ended(at(100), attempt, outcome, &budget).unwrap();
+    run.attempt_sent(UpstreamKey::from_index(0));
+    let step = run
+        .attempt_ended(at(100), attempt, outcome, &budget)
+        .unwrap();
     assert_eq!(
         refused(&step),
         (RefusalKind::UpstreamFailed, RunState::MayHaveRun)
@@ -131,7 +133,7 @@
     let mut run = run(&[stage(false, false)]);
     let attempt = dispatched(&run.start(at(0)));
     let step = run
-        .ended(at(10), attempt, AttemptOutcome::NotRun, &budget)
+        .attempt_ended(at(10), attempt, AttemptOutcome::NotRun, &budget)
         .unwrap();
     assert_eq!(dispatched(&step).attempt, 2);
     assert_eq!(run.state(), RunState::NotRun);
@@ -146,10 +148,10 @@
     let mut run = run(&[stage(false, true)]);
     let attempt = dispatched(&run.start(at(0)));
     let step = run
-        .ended(at(10), attempt, AttemptOutcome::Failed, &budget)
+        .attempt_ended(at(10), attempt, AttemptOutcome::Failed, &budget)
         .unwrap();
     assert_eq!(step, RunStep::LookUp { attempt });
-    let end = run.looked_up(at(20), found);
+    let end = run.lookup_finished(at(20), found);
     assert_eq!(end == RunStep::End(RunEnd::Answered), answered);
     if !answered {
         assert_eq!(refused(&end).1, RunState::MayHaveRun);
@@ -163,7 +165,7 @@
     let mut run = run(&[stage(true, false), stage(true, false)]);
     let attempt = dispatched(&run.start(at(0)));
     let step = run
-        .ended(at(2_985), attempt, AttemptOutcome::Failed, &budget)
+        .attempt_ended(at(2_985), attempt, AttemptOutcome::Failed, &budget)
         .unwrap();
     assert_eq!(
         refused(&step),
@@ -175,16 +177,19 @@
 // good, while new connections work. Its older siblings are likely forgotten too.
 #[test]
 fn a_silent_connection_takes_its_older_siblings_along() {
-    let mut watch = ConnectionWatch::default();
+    let mut watch = ConnectionMonitor::default();
     let [old, silent, fresh] = [0, 10, 900].map(|t| watch.opened(at(t)));
     watch.sent(at(1_000), silent);
-    assert_eq!(watch.judge(at(1_050), silent, ms(100)), []);
-    watch.heard(at(1_060), fresh, true);
-    assert_eq!(watch.judge(at(1_100), silent, ms(100)), [old, silent]);
+    assert_eq!(watch.retire_silent(at(1_050), silent, ms(100)), []);
+    watch.received(at(1_060), fresh, true);
+    assert_eq!(
+        watch.retire_silent(at(1_100), silent, ms(100)),
+        [old, silent]
+    );
     watch.sent(at(1_200), fresh);
-    watch.heard(at(1_290), fresh, false);
+    watch.received(at(1_290), fresh, false);
     assert_eq!(
-        watch.judge(at(1_300), fresh, ms(100)),
+        watch.retire_silent(at(1_300), fresh, ms(100)),
         [],
         "it was heard a moment ago"
     );
@@ -193,8 +198,8 @@
 // Rival agencies dispute the bill because its lines do not add up.
 #[test]
 fn cost_adds_up_exactly_and_waste_stands_apart() {
-    let mut ledger = Ledger::default();
-    let line = |stage, attempt, units, outcome| CostLine {
+    let mut ledger = CostLedger::default();
+    let line = |stage, attempt, units, outcome| AttemptCost {
         attempt: AttemptId {
             request: REQUEST,
             stage,
@@ -212,15 +217,15 @@
         line(0, 2, 3, AttemptOutcome::Answered),
         line(1, 1, 9, AttemptOutcome::Answered),
     ];
-    ledger.enter(&lines, true);
-    ledger.enter(&lines, false);
-    let total = ledger.total();
+    ledger.record(&lines, true);
+    ledger.record(&lines, false);
+    let total = ledger.grand_total();
     assert_eq!(
         (total.used_units, total.wasted_units, total.attempts),
         (12, 18, 6)
     );
     let sum: u64 = ledger
-        .cells()
+        .totals_by_key()
         .map(|(_, c)| c.used_units + c.wasted_units)
         .sum();
     assert_eq!(sum, total.used_units + total.wasted_units);
--- a/soak/src/caller.rs
+++ b/soak/src/caller.rs
@@ -13,7 +13,7 @@
 use jd_net::HttpPool;
 use jd_net::HttpResponse;
 use jd_net::SendError;
-use jd_net::within;
+use jd_net::with_timeout;
 
 use crate::Attempt;
 use crate::Ended;
@@ -155,7 +155,7 @@
     });
     let mut body = String::new();
     let whole = loop {
-        match within(DEADLINE, res.part()).await {
+        match with_timeout(DEADLINE, res.chunk()).await {
             Some(Ok(Some(part))) => body.push_str(&String::from_utf8_lossy(&part)),
             Some(Ok(None)) => break true,
             Some(Err(_)) | None => break false,
