--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -261,7 +261,7 @@
     ServerLimits {
         connections: settings.max_connections,
         head_bytes: limits.head_bytes,
-        head_within: limits.idle_timeout.max(limits.head_timeout),
+        head_timeout: limits.idle_timeout.max(limits.head_timeout),
         http1_only: true,
         ..ServerLimits::default()
     }
