--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -14,15 +14,15 @@
 use jd_types::AttemptOutcome;
 use jd_types::MonoTime;
 
-use crate::AnswerHead;
-use crate::UpstreamCall;
-use crate::call::Call;
-use crate::send_gate::Purpose;
-use crate::send_gate::SendFailure;
-use crate::send_gate::SendPermit;
-use crate::send_gate::Withheld;
+use crate::ResponseHead;
+use crate::UpstreamRequest;
+use crate::caller_request::CallerRequest;
 use crate::state::State;
-use crate::upstream_table::Chosen;
+use crate::upstream_client::SendFailure;
+use crate::upstream_client::SendPermit;
+use crate::upstream_client::SendPurpose;
+use crate::upstream_client::Withheld;
+use crate::upstream_table::SelectedUpstream;
 
 /// How long an answer that was sent before its upstream ended may be on its way:
 /// several round trips between availability zones.
@@ -34,44 +34,48 @@
 
 /// The answer of an upstream, its body still coming in.
 #[derive(Debug)]
-pub(crate) struct Answer {
-    pub(crate) head: AnswerHead,
+pub(crate) struct UpstreamResponse {
+    pub(crate) head: ResponseHead,
     pub(crate) response: HttpResponse,
-    pub(crate) open: OpenAttempt,
+    pub(crate) attempt: ActiveAttempt,
 }
 
 /// An attempt that is not over. Dropping it counts as cancelled.
 #[derive(Debug)]
-pub(crate) struct OpenAttempt {
+pub(crate) struct ActiveAttempt {
     state: Arc<State>,
-    chosen: Chosen,
+    chosen: SelectedUpstream,
     service: CompactString,
     content: Content,
     began: MonoTime,
     /// When the first part of its answer came.
     first_part: Option<MonoTime>,
-    ran: bool,
+    completed: bool,
     over: bool,
 }
 
-impl OpenAttempt {
-    pub(crate) fn begin(state: &Arc<State>, call: &Call, chosen: Chosen) -> OpenAttempt {
+impl ActiveAttempt {
+    pub(crate) fn begin(
+        state: &Arc<State>,
+        request: &CallerRequest,
+        chosen: SelectedUpstream,
+    ) -> ActiveAttempt {
         chosen.upstream.started();
-        OpenAttempt {
+        ActiveAttempt {
             state: Arc::clone(state),
-            service: call.service.clone(),
-            content: call.content,
+            service: request.service.clone(),
+            content: request.content,
             began: state.now(),
             first_part: None,
-            ran: false,
+            completed: false,
             chosen,
             over: false,
         }
     }
 
     /// Its upstream has given its whole answer, so that the request does not end it.
-    pub(crate) fn ran(&mut self) {
-        if !std::mem::replace(&mut self.ran, true) {
+    pub(crate) fn mark_completed(&mut self) {
+        if !std::mem::replace(&mut self.completed, true) {
             let now = self.state.now();
             let quarantine = &self.state.quarantine;
             quarantine.note_ran(now, &self.service, self.content);
@@ -79,26 +83,27 @@
     }
 
     /// A part of its answer came.
-    pub(crate) fn goes_on(&mut self) {
+    pub(crate) fn record_progress(&mut self) {
         let now = self.state.now();
         let first = *self.first_part.get_or_insert(now);
         if now.since(first) >= WELL_BEGUN_AFTER {
-            self.ran();
+            self.mark_completed();
         }
     }
 
     /// Its connection broke. Where its upstream had worked on the request for long it did
     /// not end by that.
-    pub(crate) fn broke(&mut self) {
-        if !self.ran {
-            let upstream = self.chosen.of_service(&self.service);
-            self.state.run_broke(upstream, self.content, self.began);
+    pub(crate) fn report_broken(&mut self) {
+        if !self.completed {
+            let upstream = self.chosen.upstream_ref(&self.service);
+            self.state
+                .report_broken_run(upstream, self.content, self.began);
         }
     }
 
     /// How long after the request had come it was sent, in milliseconds.
-    pub(crate) fn sent_ms(&self, call: &Call) -> u64 {
-        self.began.since(call.arrived).as_millis() as u64
+    pub(crate) fn sent_ms(&self, request: &CallerRequest) -> u64 {
+        self.began.since(request.arrived).as_millis() as u64
     }
 
     pub(crate) fn id(&self) -> &str {
@@ -108,12 +113,12 @@
     /// Returns a moment after the upstream is known to have started again: what
     /// waits for the earlier start waits in vain, but an answer that it had sent may
     /// still be on its way.
-    pub(crate) async fn until_over(&self) {
-        self.chosen.started_again.wait().await;
+    pub(crate) async fn until_restarted(&self) {
+        self.chosen.restarted.wait().await;
         Timer::after(LAST_ANSWERS_WITHIN).await;
     }
 
-    pub(crate) fn end(&mut self, outcome: AttemptOutcome) {
+    pub(crate) fn finish(&mut self, outcome: AttemptOutcome) {
         if std::mem::replace(&mut self.over, true) {
             return;
         }
@@ -130,15 +135,15 @@
     }
 }
 
-impl Drop for OpenAttempt {
+impl Drop for ActiveAttempt {
     fn drop(&mut self) {
-        self.end(AttemptOutcome::Cancelled);
+        self.finish(AttemptOutcome::Cancelled);
     }
 }
 
 /// How a send ended that brought no answer for the caller.
 #[derive(Debug)]
-pub(crate) struct Failure {
+pub(crate) struct AttemptFailure {
     pub(crate) outcome: AttemptOutcome,
     pub(crate) detail: CompactString,
     /// True if results that the request works on are gone.
@@ -147,8 +152,8 @@
     pub(crate) withheld: bool,
 }
 
-fn failure(outcome: AttemptOutcome, detail: impl Into<CompactString>) -> Failure {
-    Failure {
+fn failure(outcome: AttemptOutcome, detail: impl Into<CompactString>) -> AttemptFailure {
+    AttemptFailure {
         outcome,
         detail: detail.into(),
         inputs_gone: false,
@@ -157,34 +162,34 @@
 }
 
 /// Nothing was sent, and nothing is held against the upstream for it.
-fn withheld(call: &Call, upstream: &str, why: Withheld) -> Failure {
+fn withheld(request: &CallerRequest, upstream: &str, why: Withheld) -> AttemptFailure {
     log::info!(
-        request = call.id(),
+        request = request.id(),
         upstream = upstream,
         reason = why.reason,
-        wait_ms:? = why.wait.map(|w| w.as_millis() as u64);
+        wait_ms:? = why.retry_after.map(|w| w.as_millis() as u64);
         "attempt withheld"
     );
-    Failure {
+    AttemptFailure {
         withheld: true,
         ..failure(AttemptOutcome::NotRun, why.reason)
     }
 }
 
 /// Leave to send `call` to `chosen`.
-pub(crate) async fn permit(
+pub(crate) async fn request_permit(
     state: &State,
-    call: &Call,
-    chosen: &Chosen,
-) -> Result<SendPermit, Failure> {
-    let purpose = Purpose::Request {
-        content: call.content,
-        priority: call.priority,
+    request: &CallerRequest,
+    chosen: &SelectedUpstream,
+) -> Result<SendPermit, AttemptFailure> {
+    let purpose = SendPurpose::Request {
+        content: request.content,
+        priority: request.priority,
         cold: Arc::clone(&chosen.cold),
     };
-    let upstream = chosen.of_service(&call.service);
-    let permit = state.gate.permit(state, upstream, purpose).await;
-    permit.map_err(|why| withheld(call, &chosen.id, why))
+    let upstream = chosen.upstream_ref(&request.service);
+    let permit = state.upstream_client.permit(state, upstream, purpose).await;
+    permit.map_err(|why| withheld(request, &chosen.id, why))
 }
 
 /// Sends `call` to `chosen` and waits at most `patience` for the answer's head.
@@ -193,66 +198,68 @@
 /// takes the request.
 pub(crate) async fn send(
     state: &Arc<State>,
-    call: &Call,
-    (chosen, permit): (Chosen, SendPermit),
+    request: &CallerRequest,
+    (chosen, permit): (SelectedUpstream, SendPermit),
     inputs: &[CompactString],
     last_event: Option<u64>,
     patience: Duration,
     written: impl Fn(),
-) -> Result<Answer, Failure> {
+) -> Result<UpstreamResponse, AttemptFailure> {
     let id = chosen.id.clone();
-    let mut open = OpenAttempt::begin(state, call, chosen);
-    let upstream_call = UpstreamCall {
+    let mut attempt = ActiveAttempt::begin(state, request, chosen);
+    let upstream_request = UpstreamRequest {
         upstream: &id,
-        left: call.left(state.now()),
-        customer: call.customer.as_deref(),
-        priority: call.priority,
+        timeout: request.time_left(state.now()),
+        customer: request.customer.as_deref(),
+        priority: request.priority,
         inputs,
         last_event,
     };
-    let body = jd_net::full(call.body.clone());
+    let body = jd_net::full(request.body.clone());
     let req = state
         .dialect
-        .upstream_request(&call.parts, &upstream_call, body);
+        .upstream_request(&request.parts, &upstream_request, body);
     let over = async {
-        open.until_over().await;
-        Err(SendFailure::Broken)
+        attempt.until_restarted().await;
+        Err(SendFailure::ConnectionLost)
     };
-    let sending = state.gate.send(state, permit, req, patience, written);
+    let sending = state
+        .upstream_client
+        .send(state, permit, req, patience, written);
     let sent = sending.or(over).await;
     let result = match sent {
-        Ok(response) => judge(state, call, response),
+        Ok(response) => judge(state, request, response),
         Err(SendFailure::Withheld(why)) => {
-            open.end(AttemptOutcome::Cancelled);
-            return Err(withheld(call, &id, why));
+            attempt.finish(AttemptOutcome::Cancelled);
+            return Err(withheld(request, &id, why));
         }
-        Err(SendFailure::Silent) => Err(failure(AttemptOutcome::Silent, "no answer in time")),
-        Err(SendFailure::NotSent) => Err(failure(
+        Err(SendFailure::TimedOut) => Err(failure(AttemptOutcome::Silent, "no answer in time")),
+        Err(SendFailure::ConnectFailed) => Err(failure(
             AttemptOutcome::Unreachable,
             "no connection could be opened",
         )),
-        Err(SendFailure::Broken) => {
-            open.broke();
+        Err(SendFailure::ConnectionLost) => {
+            attempt.report_broken();
             Err(failure(AttemptOutcome::Failed, "the connection broke"))
         }
     };
     match result {
-        Ok((head, response)) => Ok(Answer {
+        Ok((head, response)) => Ok(UpstreamResponse {
             head,
             response,
-            open,
+            attempt,
         }),
         Err(failure) => {
             // Results that are gone say nothing of the upstream that was to read them.
-            open.end(match failure.inputs_gone {
+            attempt.finish(match failure.inputs_gone {
                 true => AttemptOutcome::Cancelled,
                 false => failure.outcome,
             });
             log::info!(
-                request = call.id(),
-                content:% = call.content,
+                request = request.id(),
+                content:% = request.content,
                 upstream = id.as_str(),
-                sent_ms = open.sent_ms(call),
+                sent_ms = attempt.sent_ms(request),
                 outcome = failure.outcome.as_str(),
                 detail = failure.detail.as_str();
                 "attempt failed"
@@ -266,20 +273,20 @@
 /// one of another request looks like an answer and belongs to nobody here.
 fn judge(
     state: &State,
-    call: &Call,
+    request: &CallerRequest,
     response: HttpResponse,
-) -> Result<(AnswerHead, HttpResponse), Failure> {
+) -> Result<(ResponseHead, HttpResponse), AttemptFailure> {
     let head = state
         .dialect
-        .answer_head(response.status, &response.headers);
-    let named = head.request_id.as_deref() == call.head.request_id.as_deref();
+        .response_head(response.status, &response.headers);
+    let named = head.request_id.as_deref() == request.head.request_id.as_deref();
     let misdirected = head.status == StatusCode::MISDIRECTED_REQUEST;
     match head {
         _ if misdirected => Err(failure(
             AttemptOutcome::NotRun,
             "another upstream has the address",
         )),
-        AnswerHead { not_run: true, .. } => Err(Failure {
+        ResponseHead { not_run: true, .. } => Err(AttemptFailure {
             outcome: AttemptOutcome::NotRun,
             detail: format_compact!("the upstream refused with {}", head.status),
             inputs_gone: head.status == StatusCode::CONFLICT,
@@ -289,11 +296,11 @@
             AttemptOutcome::Crossed,
             "the answer names another request",
         )),
-        AnswerHead { encoded: true, .. } => Err(failure(
+        ResponseHead { encoded: true, .. } => Err(failure(
             AttemptOutcome::Failed,
             "the answer is not the upstream's own body",
         )),
-        AnswerHead { signed: false, .. } if head.status.is_success() => Err(failure(
+        ResponseHead { signed: false, .. } if head.status.is_success() => Err(failure(
             AttemptOutcome::Failed,
             "the answer is not vouched for",
         )),
--- a/crates/gateway/src/stage_batches.rs
+++ b/crates/gateway/src/batch_dispatcher.rs
@@ -26,12 +26,12 @@
 use jd_serving::StageJob;
 use jd_types::MonoTime;
 
-use crate::result_free::ResultFree;
+use crate::result_free_queue::ResultFreeQueue;
 use crate::run_events::UpstreamRef;
-use crate::send_gate::Purpose;
-use crate::send_gate::SendFailure;
-use crate::send_gate::Withheld;
 use crate::state::State;
+use crate::upstream_client::SendFailure;
+use crate::upstream_client::SendPurpose;
+use crate::upstream_client::Withheld;
 use crate::upstream_table::UpstreamTable;
 
 /// How often waiting pieces are looked at without any event: for upstreams
@@ -58,23 +58,23 @@
 
 /// Fills batches: the desk's decisions, carried out.
 #[derive(Debug)]
-pub(crate) struct StageBatches {
+pub(crate) struct BatchDispatcher {
     state: Arc<State>,
-    free: Arc<ResultFree>,
+    free_queue: Arc<ResultFreeQueue>,
     /// One desk for each part of the upstreams that this instance works on.
     desks: Mutex<BTreeMap<Shard, Desk>>,
 }
 
 /// Cancels a job when its caller does not wait any more.
 struct JobGuard {
-    batches: Arc<StageBatches>,
+    dispatcher: Arc<BatchDispatcher>,
     shard: Shard,
     key: JobKey,
 }
 
 impl Drop for JobGuard {
     fn drop(&mut self) {
-        let mut desks = lock(&self.batches.desks);
+        let mut desks = lock(&self.dispatcher.desks);
         if let Some(desk) = desks.get_mut(&self.shard)
             && desk.waiters.remove(&self.key).is_some()
         {
@@ -83,11 +83,11 @@
     }
 }
 
-impl StageBatches {
-    pub(crate) fn new(state: Arc<State>, free: Arc<ResultFree>) -> StageBatches {
-        StageBatches {
+impl BatchDispatcher {
+    pub(crate) fn new(state: Arc<State>, free_queue: Arc<ResultFreeQueue>) -> BatchDispatcher {
+        BatchDispatcher {
             state,
-            free,
+            free_queue,
             desks: Mutex::default(),
         }
     }
@@ -95,7 +95,7 @@
     /// Does the stages of a request on one part of the upstreams. Dropping the
     /// future cancels them.
     pub(crate) async fn run(self: &Arc<Self>, shard: Shard, job: StageJob) -> JobOutcome {
-        self.state.use_shard(&shard);
+        self.state.mark_shard_used(&shard);
         let (tx, rx) = async_channel::bounded(1);
         let key = {
             let now = self.state.now();
@@ -113,7 +113,7 @@
             key
         };
         let _guard = JobGuard {
-            batches: Arc::clone(self),
+            dispatcher: Arc::clone(self),
             shard: shard.clone(),
             key,
         };
@@ -133,7 +133,7 @@
             }
         }
         drop(desks);
-        self.free.add(unknown);
+        self.free_queue.add(unknown);
         self.pump_all();
     }
 
@@ -207,10 +207,10 @@
             self.state.executor.spawn(asking).detach();
         }
         while let Some(call) = desk.desk.next_call(now) {
-            let batches = Arc::clone(self);
+            let dispatcher = Arc::clone(self);
             self.state
                 .executor
-                .spawn(batches.make(shard.clone(), call))
+                .spawn(dispatcher.make(shard.clone(), call))
                 .detach();
         }
         for end in desk.desk.take_ended() {
@@ -219,7 +219,7 @@
                 let _ = tx.try_send(end.outcome);
             }
         }
-        self.free.add(desk.desk.take_unused());
+        self.free_queue.add(desk.desk.take_unused());
     }
 
     /// Asks an upstream how much room it has.
@@ -242,21 +242,24 @@
         let (state, dialect) = (&self.state, &self.state.dialect);
         let upstream = UpstreamRef {
             service: question.service.clone(),
-            upstream: question.upstream.clone(),
+            id: question.upstream.clone(),
             start: question.start,
             address: question.address,
         };
-        let permit = state.gate.permit(state, upstream, Purpose::Upkeep).await;
-        let req = dialect.room_request(&question.upstream);
+        let permit = state
+            .upstream_client
+            .permit(state, upstream, SendPurpose::Maintenance)
+            .await;
+        let req = dialect.capacity_request(&question.upstream);
         let sending = state
-            .gate
+            .upstream_client
             .send(state, permit.ok()?, req, ROOM_WITHIN, || {});
         let response = sending.await.ok()?;
         if !response.status.is_success() {
             return None;
         }
         let body = within(ROOM_WITHIN, response.whole(MAX_ANSWER)).await?;
-        dialect.room_report(&body.ok()?)
+        dialect.capacity_report(&body.ok()?)
     }
 
     async fn make(self: Arc<Self>, shard: Shard, call: BatchCall) {
@@ -289,7 +292,10 @@
         for content in contents {
             match result {
                 CallResult::Answered(_) => quarantine.note_ran(now, &call.service, content),
-                CallResult::Broken => self.state.run_broke(upstream_of(call), content, began),
+                CallResult::Broken => {
+                    self.state
+                        .report_broken_run(upstream_of(call), content, began)
+                }
                 CallResult::Full
                 | CallResult::Withheld(_)
                 | CallResult::Gone
@@ -300,23 +306,27 @@
 
     async fn ask(&self, call: &BatchCall) -> CallResult {
         let (state, dialect) = (&self.state, &self.state.dialect);
-        let permit = state.gate.permit(state, upstream_of(call), Purpose::Pieces);
+        let permit = state
+            .upstream_client
+            .permit(state, upstream_of(call), SendPurpose::Pieces);
         let permit = match permit.await {
             Ok(permit) => permit,
             Err(why) => return withheld(why),
         };
         // Room that the desk counts as free has to be free when the call comes.
-        self.free.flush(call.address).await;
+        self.free_queue.flush(call.address).await;
         let req = dialect.stage_request(&call.upstream, &call.pieces);
-        let sent = state.gate.send(state, permit, req, call.patience, || {});
+        let sent = state
+            .upstream_client
+            .send(state, permit, req, call.patience, || {});
         let response = match sent.await {
             Ok(response) => response,
             Err(SendFailure::Withheld(why)) => return withheld(why),
-            Err(SendFailure::NotSent) => return CallResult::Gone,
-            Err(SendFailure::Broken) => return CallResult::Broken,
-            Err(SendFailure::Silent) => return CallResult::Failed,
+            Err(SendFailure::ConnectFailed) => return CallResult::Gone,
+            Err(SendFailure::ConnectionLost) => return CallResult::Broken,
+            Err(SendFailure::TimedOut) => return CallResult::Failed,
         };
-        let head = dialect.answer_head(response.status, &response.headers);
+        let head = dialect.response_head(response.status, &response.headers);
         match head.status {
             http::StatusCode::MISDIRECTED_REQUEST => return CallResult::Gone,
             status if head.not_run || !status.is_success() => return self.refused(call),
@@ -336,8 +346,8 @@
     /// wants nothing more.
     fn refused(&self, call: &BatchCall) -> CallResult {
         let state = &self.state;
-        let (now, notices) = (state.now(), &state.notices);
-        match notices.backoff(now, call.address, &call.upstream, call.start) {
+        let (now, backoffs) = (state.now(), &state.backoffs);
+        match backoffs.backoff(now, call.address, &call.upstream, call.start) {
             Some(left) => CallResult::Withheld(left),
             None => CallResult::Full,
         }
@@ -366,7 +376,7 @@
 }
 
 fn withheld(why: Withheld) -> CallResult {
-    match why.wait {
+    match why.retry_after {
         Some(wait) => CallResult::Withheld(wait),
         None => CallResult::Gone,
     }
@@ -375,7 +385,7 @@
 fn upstream_of(call: &BatchCall) -> UpstreamRef {
     UpstreamRef {
         service: call.service.clone(),
-        upstream: call.upstream.clone(),
+        id: call.upstream.clone(),
         start: call.start,
         address: call.address,
     }
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/caller_api.rs
@@ -32,11 +32,11 @@
 use jd_types::RefusalKind;
 use jd_types::RunState;
 
-use crate::call::Call;
-use crate::plain_call;
+use crate::caller_request::CallerRequest;
 use crate::stage_runner::StageRunner;
 use crate::state::State;
-use crate::stream_call;
+use crate::streaming_call;
+use crate::unary_call;
 
 /// When to come back to an instance that does not know what is in force. One
 /// that has just started knows within a second; the users' callers come back
@@ -50,12 +50,12 @@
 
 /// Answers callers.
 #[derive(Debug)]
-pub(crate) struct Front {
+pub(crate) struct CallerApi {
     pub(crate) state: Arc<State>,
     pub(crate) stages: Arc<StageRunner>,
 }
 
-impl Handler for Front {
+impl Handler for CallerApi {
     fn handle(self: Arc<Self>, req: Request<Incoming>) -> HandlerFuture {
         Box::pin(async move {
             let arrived = self.state.now();
@@ -69,16 +69,16 @@
     }
 }
 
-impl Front {
+impl CallerApi {
     async fn answer(&self, arrived: MonoTime, req: Request<Incoming>) -> Response<Body> {
         let (parts, body) = req.into_parts();
         let head = self.state.dialect.call_head(&parts);
         let id = head.request_id.clone();
         let mut content = None;
         let ended = match self.admit(arrived, head, parts, body).await {
-            Ok(call) => {
-                content = Some(call.content);
-                self.run(call).await
+            Ok(request) => {
+                content = Some(request.content);
+                self.run(request).await
             }
             Err(refusal) => Err(refusal),
         };
@@ -91,12 +91,12 @@
         }
     }
 
-    async fn run(&self, call: Call) -> Result<Response<Body>, Refusal> {
-        call.check_quarantine(&self.state, 0)?;
-        match call.route().repeat {
-            Repeat::Idempotent | Repeat::Once => plain_call::run(&self.state, call).await,
+    async fn run(&self, request: CallerRequest) -> Result<Response<Body>, Refusal> {
+        request.check_quarantine(&self.state, 0)?;
+        match request.route().repeat {
+            Repeat::Idempotent | Repeat::Once => unary_call::run(&self.state, request).await,
             Repeat::Resumable | Repeat::StreamOnce => {
-                stream_call::run(&self.state, &self.stages, call).await
+                streaming_call::run(&self.state, &self.stages, request).await
             }
         }
     }
@@ -110,8 +110,8 @@
         head: CallHead,
         parts: Parts,
         body: Incoming,
-    ) -> Result<Call, Refusal> {
-        let in_flight = self.state.begin();
+    ) -> Result<CallerRequest, Refusal> {
+        let in_flight = self.state.track_request();
         let router = self.state.router.load_full();
         let limits = router.as_ref().map(|r| r.limits).unwrap_or_default();
         let body = read_body(body, limits.body_bytes).await?;
@@ -132,7 +132,7 @@
         let service = service.cloned().ok_or_else(|| {
             Refusal::not_run(RefusalKind::NoUpstream, "the route leads to no service")
         })?;
-        Ok(Call {
+        Ok(CallerRequest {
             route,
             priority: caller.and_then(|c| c.priority).unwrap_or(spec.priority),
             customer,
@@ -157,9 +157,9 @@
         let until = self.state.now() + FIRST_READ_WAIT;
         let read = async {
             while self.state.router.load().is_none() {
-                let news = self.state.news.listen();
+                let changes = self.state.changes.listen();
                 if self.state.router.load().is_none() {
-                    news.await;
+                    changes.await;
                 }
             }
         };
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/caller_request.rs
@@ -15,13 +15,13 @@
 use jd_types::Refusal;
 use jd_types::RefusalKind;
 
-use crate::front::may_have_run;
+use crate::caller_api::may_have_run;
 use crate::state::InFlight;
 use crate::state::State;
 
 /// One request of a caller, admitted and read whole.
 #[derive(Debug)]
-pub(crate) struct Call {
+pub(crate) struct CallerRequest {
     pub(crate) router: Arc<Router>,
     pub(crate) route: RouteKey,
     pub(crate) customer: Option<CompactString>,
@@ -38,7 +38,7 @@
     pub(crate) _in_flight: InFlight,
 }
 
-impl Call {
+impl CallerRequest {
     pub(crate) fn route(&self) -> &Route {
         self.router.route(self.route)
     }
@@ -69,12 +69,12 @@
     }
 
     /// How long its caller still waits.
-    pub(crate) fn left(&self, now: MonoTime) -> Duration {
+    pub(crate) fn time_left(&self, now: MonoTime) -> Duration {
         self.deadline.since(now)
     }
 
     /// What has to be over for an answer in time.
-    pub(crate) fn objective(&self) -> MonoTime {
+    pub(crate) fn objective_deadline(&self) -> MonoTime {
         self.arrived + self.route().objective
     }
 }
--- a/crates/gateway/src/knowledge.rs
+++ b/crates/gateway/src/cluster_state.rs
@@ -20,7 +20,7 @@
 
 /// A deployment in force here.
 #[derive(Debug, Clone)]
-pub(crate) struct KnownDeployment {
+pub(crate) struct ActiveDeployment {
     pub(crate) version: u64,
     /// The record that it was read from.
     pub(crate) item: StoreItem,
@@ -28,40 +28,45 @@
 
 /// What the store has told, as one value under one lock.
 #[derive(Debug, Default)]
-pub(crate) struct Knowledge {
+pub(crate) struct ClusterState {
     pub(crate) freshness: Freshness,
     pub(crate) upstreams: UpstreamDirectory,
-    pub(crate) evacuated: EvacuatedZones,
+    pub(crate) evacuated_zones: EvacuatedZones,
     pub(crate) instances: InstanceDirectory,
     /// What the operator has put in force, and the record that said so.
-    pub(crate) deployment: Option<KnownDeployment>,
+    pub(crate) deployment: Option<ActiveDeployment>,
     /// An instance that has a later version in force, and since when that is known.
-    pub(crate) ahead: Option<(Incarnation, MonoTime)>,
+    pub(crate) newer_peer: Option<(Incarnation, MonoTime)>,
     pub(crate) mirror: StoreMirror,
     /// Instances that brought no news or had lost the store, and when.
-    sources: HashMap<Incarnation, (MonoTime, SourceState)>,
+    source_states: HashMap<Incarnation, (MonoTime, SourceState)>,
     /// When the store's list of instances was first read.
-    pub(crate) listed_at: Option<MonoTime>,
+    pub(crate) instances_listed_at: Option<MonoTime>,
     /// Earlier starts of this instance whose entries the store still has.
-    pub(crate) earlier_starts: Vec<Incarnation>,
+    pub(crate) previous_incarnations: Vec<Incarnation>,
     /// What owners last said of their shards, and when.
     pub(crate) backlogs: HashMap<Shard, (MonoTime, Duration)>,
 }
 
-impl Knowledge {
+impl ClusterState {
     /// What an instance was lately like as a source of news.
     pub(crate) fn source_state(&self, now: MonoTime, id: Incarnation) -> SourceState {
-        match self.sources.get(&id) {
+        match self.source_states.get(&id) {
             Some((since, state)) if now.since(*since) < SOURCE_STATE_LASTS => *state,
             _ => SourceState::Able,
         }
     }
 
     /// An instance was like this as a source of news.
-    pub(crate) fn note_source(&mut self, now: MonoTime, id: Incarnation, state: SourceState) {
+    pub(crate) fn record_source_state(
+        &mut self,
+        now: MonoTime,
+        id: Incarnation,
+        state: SourceState,
+    ) {
         match state {
-            SourceState::Able => self.sources.remove(&id),
-            _ => self.sources.insert(id, (now, state)),
+            SourceState::Able => self.source_states.remove(&id),
+            _ => self.source_states.insert(id, (now, state)),
         };
     }
 
@@ -71,18 +76,18 @@
     }
 
     /// An instance told which version is in force there.
-    pub(crate) fn note_version(&mut self, now: MonoTime, id: Incarnation, version: u64) {
+    pub(crate) fn record_version(&mut self, now: MonoTime, id: Incarnation, version: u64) {
         let own = self.deployment_version();
-        match self.ahead {
-            None if version > own => self.ahead = Some((id, now)),
-            Some((ahead, _)) if ahead == id && version <= own => self.ahead = None,
+        match self.newer_peer {
+            None if version > own => self.newer_peer = Some((id, now)),
+            Some((ahead, _)) if ahead == id && version <= own => self.newer_peer = None,
             _ => {}
         }
     }
 
     /// Forgets what sources were like longer ago than counts.
-    pub(crate) fn forget_sources(&mut self, now: MonoTime) {
-        self.sources
+    pub(crate) fn expire_source_states(&mut self, now: MonoTime) {
+        self.source_states
             .retain(|_, (since, _)| now.since(*since) < SOURCE_STATE_LASTS);
     }
 }
--- a/crates/gateway/src/crash_reporter.rs
+++ b/crates/gateway/src/crash_reporter.rs
@@ -70,11 +70,11 @@
     pub(crate) async fn run(self: Arc<Self>) {
         while let Some(run_events) = self.state.quarantine.run_events.next().await {
             match run_events {
-                RunEvent::Ran(run) => self.tell(Report {
+                RunEvent::Completed(run) => self.tell(Report {
                     completed_runs: vec![run],
                     ..Report::default()
                 }),
-                RunEvent::Broke {
+                RunEvent::Broken {
                     at,
                     upstream,
                     content,
@@ -87,7 +87,7 @@
     /// Says for good which suspects ran well here.
     pub(crate) async fn answer(self: Arc<Self>) {
         loop {
-            self.state.quarantine.to_answer.given().await;
+            self.state.quarantine.to_answer.wait().await;
             let completed_runs = self.state.quarantine.remembered(self.state.now());
             if !completed_runs.is_empty() {
                 self.tell(Report {
@@ -135,7 +135,7 @@
         let runs = broken.runs.len();
         self.state.metrics.broken_runs(seen.as_str(), runs);
         log::info!(
-            upstream = upstream.upstream.as_str(),
+            upstream = upstream.id.as_str(),
             service = upstream.service.as_str(),
             runs,
             contents = contents(&broken.runs).as_str(),
@@ -146,7 +146,7 @@
             self.tell(Report {
                 ends: vec![UpstreamEnd {
                     service: upstream.service,
-                    upstream: upstream.upstream,
+                    upstream: upstream.id,
                     start: upstream.start,
                     at: broken.at,
                     runs: broken.runs,
@@ -160,7 +160,7 @@
         if self.see_entry(upstream) == Seen::Ended {
             return Seen::Ended;
         }
-        match self.state.gate.probe(upstream.address).await {
+        match self.state.upstream_client.probe(upstream.address).await {
             Probe::Refused => Seen::Ended,
             Probe::Open | Probe::Silent => Seen::There,
         }
@@ -169,10 +169,10 @@
     /// What the list of upstreams says.
     fn see_entry(&self, upstream: &UpstreamRef) -> Seen {
         let table = self.state.upstreams.load();
-        match table.start_of(&upstream.upstream) {
+        match table.start_of(&upstream.id) {
             Some(now) if now.is_later_than(upstream.start) => Seen::Ended,
             Some(_) => Seen::There,
-            None if table.is_at(&upstream.service, upstream.address) => Seen::Ended,
+            None if table.serves_at(&upstream.service, upstream.address) => Seen::Ended,
             None => Seen::Unlisted,
         }
     }
@@ -180,7 +180,7 @@
     fn tell(self: &Arc<Self>, report: Report) {
         let coordinators = self.state.coordinators().into_iter().take(COORDINATORS);
         for coordinator in coordinators {
-            if coordinator == self.state.me.peers {
+            if coordinator == self.state.own_entry.peers {
                 self.coordinator.take(report.clone());
                 continue;
             }
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -25,11 +25,11 @@
 
 /// What goes with a caller's request to one upstream.
 #[derive(Debug, Clone)]
-pub struct UpstreamCall<'a> {
+pub struct UpstreamRequest<'a> {
     /// The identity that the upstream must have to run it.
     pub upstream: &'a str,
     /// How long it may take.
-    pub left: Duration,
+    pub timeout: Duration,
     /// The customer that it belongs to.
     pub customer: Option<&'a str>,
     /// Its rank; 0 is the most urgent.
@@ -42,7 +42,7 @@
 
 /// What the head of an upstream's answer says.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// The status.
     pub status: StatusCode,
     /// The request that it belongs to, as the upstream says.
@@ -69,18 +69,22 @@
     fn call_head(&self, parts: &Parts) -> CallHead;
 
     /// The request to an upstream, with the caller's method, path and headers.
-    fn upstream_request(&self, parts: &Parts, call: &UpstreamCall<'_>, body: Body)
-    -> Request<Body>;
+    fn upstream_request(
+        &self,
+        parts: &Parts,
+        request: &UpstreamRequest<'_>,
+        body: Body,
+    ) -> Request<Body>;
 
     /// Reads the head of an upstream's answer.
-    fn answer_head(&self, status: StatusCode, headers: &HeaderMap) -> AnswerHead;
+    fn response_head(&self, status: StatusCode, headers: &HeaderMap) -> ResponseHead;
 
     /// The requests a second that an upstream takes from all instances together, as an
     /// answer of it names them; none if it names no limit.
-    fn named_limit(&self, headers: &HeaderMap) -> Result<Option<RequestRate>, RateError>;
+    fn rate_limit(&self, headers: &HeaderMap) -> Result<Option<RequestRate>, RateError>;
 
     /// True if an upstream says in an answer that it is about to stop.
-    fn says_leaving(&self, headers: &HeaderMap) -> bool;
+    fn announces_leaving(&self, headers: &HeaderMap) -> bool;
 
     /// How long an upstream that refused a request wants nothing more from this
     /// instance; none if it does not say so.
@@ -103,13 +107,13 @@
     fn stage_results(&self, body: &[u8], count: usize) -> Option<Vec<PieceResult>>;
 
     /// A call that gives results up.
-    fn free_request(&self, handles: &[CompactString]) -> Request<Body>;
+    fn free_results_request(&self, handles: &[CompactString]) -> Request<Body>;
 
     /// A question to an upstream of stages how much room it has.
-    fn room_request(&self, upstream: &str) -> Request<Body>;
+    fn capacity_request(&self, upstream: &str) -> Request<Body>;
 
     /// Reads the answer to such a question; none if it is not one.
-    fn room_report(&self, body: &[u8]) -> Option<RoomReport>;
+    fn capacity_report(&self, body: &[u8]) -> Option<RoomReport>;
 
     /// Where a result lies; none if its handle does not tell.
     fn result_address(&self, handle: &str) -> Option<SocketAddr>;
@@ -118,7 +122,7 @@
     fn locate_query(&self, uri: &Uri) -> Option<LocateQuery>;
 
     /// The answer to such a question.
-    fn locate_answer(&self, addresses: &[SocketAddr], lifetime: Duration) -> Bytes;
+    fn locate_response(&self, addresses: &[SocketAddr], lifetime: Duration) -> Bytes;
 
     /// True if the request asks whether this instance is ready.
     fn is_ready_probe(&self, uri: &Uri) -> bool;
--- a/crates/gateway/src/event_stream.rs
+++ b/crates/gateway/src/event_stream.rs
@@ -16,15 +16,15 @@
 use jd_types::MonoTime;
 use snafu::Snafu;
 
-use crate::attempt::Answer;
-use crate::attempt::OpenAttempt;
-use crate::call::Call;
+use crate::attempt::ActiveAttempt;
+use crate::attempt::UpstreamResponse;
+use crate::caller_request::CallerRequest;
 use crate::stage_runner::StageResults;
 use crate::stage_runner::StageRunner;
 use crate::state::State;
-use crate::upstream_choice::Missed;
-use crate::upstream_choice::Offers;
-use crate::upstream_choice::send_to_next;
+use crate::upstream_selection::NextSendError;
+use crate::upstream_selection::RetryState;
+use crate::upstream_selection::send_to_next_upstream;
 
 /// How long a stream that could go on elsewhere may stand still. Twice the
 /// longest pause of the users' routes that still counts as in time.
@@ -44,13 +44,13 @@
 #[derive(Debug)]
 pub(crate) struct EventStream {
     state: Arc<State>,
-    call: Call,
+    request: CallerRequest,
     response: Option<HttpResponse>,
-    open: OpenAttempt,
+    attempt: ActiveAttempt,
     stages: Arc<StageRunner>,
     results: StageResults,
     splitter: EventSplitter,
-    offers: Offers,
+    retries: RetryState,
     events: u64,
     /// When its first events came, and the last ones.
     first: Option<MonoTime>,
@@ -63,20 +63,20 @@
     pub(crate) fn new(
         state: &Arc<State>,
         stages: &Arc<StageRunner>,
-        call: Call,
-        answer: Answer,
+        request: CallerRequest,
+        answer: UpstreamResponse,
         results: StageResults,
-        offers: Offers,
+        retries: RetryState,
     ) -> EventStream {
         EventStream {
             state: Arc::clone(state),
-            call,
+            request,
             response: Some(answer.response),
-            open: answer.open,
+            attempt: answer.attempt,
             stages: Arc::clone(stages),
             results,
             splitter: EventSplitter::default(),
-            offers,
+            retries,
             events: 0,
             first: None,
             last: None,
@@ -87,14 +87,14 @@
     /// The next part of the body and the rest of the stream; none at its end.
     pub(crate) async fn next(mut self) -> Option<(Result<Bytes, BodyError>, EventStream)> {
         loop {
-            let left = self.call.left(self.state.now());
+            let left = self.request.time_left(self.state.now());
             let wait = match self.may_go_on() {
                 true => left.min(STALL_WITHIN),
                 false => left,
             };
             let response = self.response.as_mut()?;
             let over = async {
-                self.open.until_over().await;
+                self.attempt.until_restarted().await;
                 Some(Err(SendError::Broken))
             };
             let read = within(wait, response.part()).or(over).await;
@@ -108,10 +108,10 @@
                 },
                 Some(Ok(None)) => return self.ended(),
                 Some(Err(_)) => {
-                    self.open.broke();
+                    self.attempt.report_broken();
                     AttemptOutcome::Truncated
                 }
-                None if self.call.left(self.state.now()).is_zero() => {
+                None if self.request.time_left(self.state.now()).is_zero() => {
                     return Some(self.cut(AttemptOutcome::TimedOut, CutOff::Deadline).await);
                 }
                 None => AttemptOutcome::Silent,
@@ -129,23 +129,23 @@
         self.longest_pause = self.longest_pause.max(pause);
         self.first.get_or_insert(now);
         self.last = Some(now);
-        self.open.goes_on();
+        self.attempt.record_progress();
         // The upstream has read its inputs once it makes events. Results take
         // much room; a stream that goes on elsewhere has them made again.
-        self.results.free();
+        self.results.release();
     }
 
     fn ended(mut self) -> Option<(Result<Bytes, BodyError>, EventStream)> {
-        self.open.ran();
-        self.open.end(AttemptOutcome::Answered);
+        self.attempt.mark_completed();
+        self.attempt.finish(AttemptOutcome::Answered);
         self.response = None;
-        let took = self.state.now().since(self.call.arrived);
-        let first = self.first.map(|at| at.since(self.call.arrived));
-        let tokens = self.call.head.prompt.as_ref().map(|p| p.tokens_in);
+        let took = self.state.now().since(self.request.arrived);
+        let first = self.first.map(|at| at.since(self.request.arrived));
+        let tokens = self.request.head.prompt.as_ref().map(|p| p.tokens_in);
         log::info!(
-            request = self.call.id(),
-            route = self.call.route().name.as_str(),
-            upstream = self.open.id(),
+            request = self.request.id(),
+            route = self.request.route().name.as_str(),
+            upstream = self.attempt.id(),
             tokens:? = tokens,
             parts = self.events,
             first_ms:? = first.map(|d| d.as_millis() as u64),
@@ -162,19 +162,19 @@
         outcome: AttemptOutcome,
         why: CutOff,
     ) -> (Result<Bytes, BodyError>, EventStream) {
-        self.open.end(outcome);
+        self.attempt.finish(outcome);
         self.response = None;
         self.state
             .metrics
-            .request("cut-off", self.state.now().since(self.call.arrived));
+            .request("cut-off", self.state.now().since(self.request.arrived));
         log::warn!(
-            request = self.call.id(),
-            content:% = self.call.content,
-            upstream = self.open.id(),
+            request = self.request.id(),
+            content:% = self.request.content,
+            upstream = self.attempt.id(),
             outcome = outcome.as_str(),
             parts = self.events,
             last_event:? = self.splitter.last_event(),
-            ms = self.state.now().since(self.call.arrived).as_millis() as u64;
+            ms = self.state.now().since(self.request.arrived).as_millis() as u64;
             "stream cut off"
         );
         // Events that are written but not yet sent would be dropped with the
@@ -184,43 +184,44 @@
     }
 
     fn may_go_on(&self) -> bool {
-        let route = self.call.route();
-        route.repeat == Repeat::Resumable && self.offers.runs < route.max_attempts
+        let route = self.request.route();
+        route.repeat == Repeat::Resumable && self.retries.possible_runs < route.max_attempts
     }
 
     /// Goes on at another upstream after the last whole event; false if that is
     /// not allowed or not possible.
     async fn go_on(&mut self, outcome: AttemptOutcome) -> bool {
         self.response = None;
-        self.open.end(outcome);
+        self.attempt.finish(outcome);
         let _torn = self.splitter.rest();
-        while self.may_go_on() && self.state.may_repeat(&self.call.service) {
-            match self.stages.run(&self.call).await {
+        while self.may_go_on() && self.state.may_retry(&self.request.service) {
+            match self.stages.run(&self.request).await {
                 Ok(results) => self.results = results,
                 Err(_) => return false,
             }
-            let last = self.splitter.last_event().or(self.call.head.last_event);
+            let last = self.splitter.last_event().or(self.request.head.last_event);
             let inputs = self.results.handles();
-            let (state, call) = (&self.state, &self.call);
-            let left = |_| call.left(state.now());
-            let sending = send_to_next(state, call, &mut self.offers, inputs, last, left, || {});
+            let (state, request) = (&self.state, &self.request);
+            let left = |_| request.time_left(state.now());
+            let sending =
+                send_to_next_upstream(state, request, &mut self.retries, inputs, last, left, || {});
             let sent = sending.await;
-            if let Err(Missed::Refused(_)) = &sent {
+            if let Err(NextSendError::Refused(_)) = &sent {
                 return false;
             }
-            self.offers.runs += 1;
+            self.retries.possible_runs += 1;
             if let Ok(answer) = sent
                 && answer.head.status.is_success()
             {
                 log::info!(
-                        request = self.call.id(),
-                content:% = self.call.content,
-                        upstream = answer.open.id(),
+                        request = self.request.id(),
+                content:% = self.request.content,
+                        upstream = answer.attempt.id(),
                         last_event:? = last;
                         "stream goes on elsewhere"
                     );
                 self.response = Some(answer.response);
-                self.open = answer.open;
+                self.attempt = answer.attempt;
                 return true;
             }
         }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -24,18 +24,18 @@
 
 use crate::Dialect;
 use crate::Store;
+use crate::batch_dispatcher::BatchDispatcher;
+use crate::caller_api::CallerApi;
 use crate::crash_reporter::CrashReporter;
-use crate::front::Front;
 use crate::peer_api::PeerApi;
 use crate::peer_api::PeerHandler;
 use crate::peers::Peers;
 use crate::quarantine_coordinator::QuarantineCoordinator;
-use crate::result_free::ResultFree;
-use crate::result_release::ResultRelease;
+use crate::result_free_queue::ResultFreeQueue;
+use crate::result_release_queue::ResultReleaseQueue;
 use crate::service_apis::LocateApi;
 use crate::service_apis::MetricsApi;
 use crate::service_apis::ReadyApi;
-use crate::stage_batches::StageBatches;
 use crate::stage_runner::StageRunner;
 use crate::state::State;
 use crate::store_call::StoreCallCounts;
@@ -77,7 +77,7 @@
 
 impl fmt::Debug for Gateway {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "Gateway({})", self.state.me.incarnation)
+        write!(f, "Gateway({})", self.state.own_entry.incarnation)
     }
 }
 
@@ -91,7 +91,7 @@
         dialect: Arc<dyn Dialect>,
         store: Arc<dyn Store>,
     ) -> Result<Gateway, StartError> {
-        let me = InstanceEntry {
+        let own_entry = InstanceEntry {
             incarnation: Incarnation::new(fastrand::u64(1..)),
             callers: settings.callers,
             peers: settings.peers,
@@ -100,24 +100,31 @@
             leaving: false,
         };
         let executor = Arc::clone(executor);
-        let state = State::new(settings, clock, Arc::clone(&executor), pool, dialect, me);
+        let state = State::new(
+            settings,
+            clock,
+            Arc::clone(&executor),
+            pool,
+            dialect,
+            own_entry,
+        );
         let state = Arc::new(state);
-        let free = Arc::new(ResultFree::new(Arc::clone(&state)));
-        let batches = StageBatches::new(Arc::clone(&state), Arc::clone(&free));
-        let batches = Arc::new(batches);
+        let free_queue = Arc::new(ResultFreeQueue::new(Arc::clone(&state)));
+        let dispatcher = BatchDispatcher::new(Arc::clone(&state), Arc::clone(&free_queue));
+        let dispatcher = Arc::new(dispatcher);
         let peers = Arc::new(Peers::new(Arc::clone(&state)));
-        let release = Arc::new(ResultRelease {
+        let release_queue = Arc::new(ResultReleaseQueue {
             state: Arc::clone(&state),
-            batches: Arc::clone(&batches),
+            dispatcher: Arc::clone(&dispatcher),
             peers: Arc::clone(&peers),
-            free: Arc::clone(&free),
-            gathered: Mutex::default(),
+            free_queue: Arc::clone(&free_queue),
+            pending: Mutex::default(),
         });
         let stages = Arc::new(StageRunner {
             state: Arc::clone(&state),
-            batches: Arc::clone(&batches),
+            dispatcher: Arc::clone(&dispatcher),
             peers: Arc::clone(&peers),
-            release: Arc::clone(&release),
+            release_queue: Arc::clone(&release_queue),
         });
         let link = Arc::new(StoreLink {
             state: Arc::clone(&state),
@@ -151,18 +158,18 @@
             reader,
             peers: Arc::clone(&peers),
         });
-        let front = Front {
+        let caller_api = CallerApi {
             state: Arc::clone(&state),
             stages,
         };
         let peer_api = PeerApi {
             state: Arc::clone(&state),
-            batches: Arc::clone(&batches),
+            dispatcher: Arc::clone(&dispatcher),
             coordinator: Arc::clone(&coordinator),
         };
         let s = &state.settings;
         let limits = caller_limits(s, &CallerLimits::default());
-        let callers = Arc::new(listen(&state, s.callers, limits, Arc::new(front))?);
+        let callers = Arc::new(listen(&state, s.callers, limits, Arc::new(caller_api))?);
         let own = ServerLimits::default();
         let servers = vec![
             listen(&state, s.ready, own, Arc::new(ReadyApi(Arc::clone(&state))))?,
@@ -192,16 +199,16 @@
             executor.spawn(Arc::clone(&lease).remove_silent()),
             executor.spawn(reporting),
             executor.spawn(peers.beat()),
-            executor.spawn(batches.tick()),
-            executor.spawn(release.run()),
-            executor.spawn(free.run()),
+            executor.spawn(dispatcher.tick()),
+            executor.spawn(release_queue.run()),
+            executor.spawn(free_queue.run()),
             executor.spawn(coordinator.run()),
             executor.spawn(Arc::clone(&reporter).run()),
             executor.spawn(reporter.answer()),
         ];
         log::info!(
             instance = state.settings.name.as_str(),
-            incarnation:% = state.me.incarnation,
+            incarnation:% = state.own_entry.incarnation,
             callers:% = state.settings.callers;
             "started"
         );
@@ -222,7 +229,7 @@
         let began = self.state.now();
         let grace = self.state.settings.grace;
         log::info!(in_flight = self.state.in_flight(); "stopping");
-        self.state.leave();
+        self.state.start_leaving();
         self.lease.withdraw().await;
         let last = began + grace.saturating_sub(GRACE_MARGIN);
         let accept_until = began + grace * ACCEPT_PERCENT / 100;
--- a/crates/gateway/src/limiters.rs
+++ b/crates/gateway/src/limiters.rs
@@ -57,7 +57,8 @@
         };
         let address = state.upstreams.load().address_of(id);
         let shard = address.map(shard_of);
-        let first = shard.is_some_and(|s| state.owner_order(&s).first() == Some(&state.me.peers));
+        let first =
+            shard.is_some_and(|s| state.owner_order(&s).first() == Some(&state.own_entry.peers));
         let part = match first {
             true => LimiterPart::Whole,
             false => LimiterPart::Quarter,
@@ -90,8 +91,8 @@
     ) -> Result<(), Duration> {
         let order = state.owner_order(&shard_of(upstream.address));
         for limiter in order {
-            if limiter == state.me.peers {
-                return self.acquire(state, &upstream.upstream, priority);
+            if limiter == state.own_entry.peers {
+                return self.acquire(state, &upstream.id, priority);
             }
             if self.is_silent(state.now(), limiter) {
                 continue;
@@ -105,7 +106,7 @@
                 // The connection may be silent for good while new ones work.
                 None => channel.reset(),
             }
-            log::warn!(limiter:% = limiter, upstream = upstream.upstream.as_str(); "instance that gives out permits is silent");
+            log::warn!(limiter:% = limiter, upstream = upstream.id.as_str(); "instance that gives out permits is silent");
             state.metrics.permit("silent");
             lock(&self.silent).insert(limiter, state.now());
         }
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -59,7 +59,7 @@
         headers: &HeaderMap,
         metrics: &Metrics,
     ) {
-        match dialect.named_limit(headers) {
+        match dialect.rate_limit(headers) {
             Ok(None) if !self.any() => {}
             Ok(limit) => {
                 let said = LimitNotice {
@@ -67,13 +67,13 @@
                     limit,
                     heard: now,
                 };
-                self.take(now, &upstream.upstream, said, LimitSource::Answer, metrics);
+                self.take(now, &upstream.id, said, LimitSource::Answer, metrics);
             }
             Err(e) => {
                 let mut last = lock(&self.unreadable);
-                if last.as_ref() != Some(&upstream.upstream) {
-                    log::warn!(upstream = upstream.upstream.as_str(), error:% = e; "limit of an upstream cannot be read; what it named before counts");
-                    *last = Some(upstream.upstream.clone());
+                if last.as_ref() != Some(&upstream.id) {
+                    log::warn!(upstream = upstream.id.as_str(), error:% = e; "limit of an upstream cannot be read; what it named before counts");
+                    *last = Some(upstream.id.clone());
                 }
             }
         }
@@ -145,6 +145,6 @@
             source:? = source;
             "limit of an upstream"
         );
-        self.to_tell.give();
+        self.to_tell.notify();
     }
 }
--- a/crates/gateway/src/peer_api.rs
+++ b/crates/gateway/src/peer_api.rs
@@ -30,6 +30,7 @@
 use tonic::Status;
 use tower_service::Service;
 
+use crate::batch_dispatcher::BatchDispatcher;
 use crate::peer_instance;
 use crate::peer_limits;
 use crate::peer_news;
@@ -37,14 +38,13 @@
 use crate::peer_stages;
 use crate::quarantine::Source;
 use crate::quarantine_coordinator::QuarantineCoordinator;
-use crate::stage_batches::StageBatches;
 use crate::state::State;
 
 /// Answers other instances.
 #[derive(Debug)]
 pub(crate) struct PeerApi {
     pub(crate) state: Arc<State>,
-    pub(crate) batches: Arc<StageBatches>,
+    pub(crate) dispatcher: Arc<BatchDispatcher>,
     pub(crate) coordinator: Arc<QuarantineCoordinator>,
 }
 
@@ -60,7 +60,7 @@
         self.state.quarantine.take(now, Source::Beat, told);
         peer_limits::take(&self.state, beat.limits);
         let from = Incarnation::new(beat.incarnation);
-        self.state.knowledge().instances.heard(
+        self.state.cluster().instances.heard(
             now,
             from,
             Heartbeat {
@@ -69,11 +69,11 @@
                 has_read: beat.has_read,
             },
         );
-        let backlogs = self.batches.backlogs();
+        let backlogs = self.dispatcher.backlogs();
         for (shard, wait) in &backlogs {
             let heard = (now, *wait);
-            let mut knowledge = self.state.knowledge();
-            knowledge.backlogs.insert(shard.clone(), heard);
+            let mut cluster = self.state.cluster();
+            cluster.backlogs.insert(shard.clone(), heard);
         }
         let backlogs = backlogs.into_iter();
         let backlogs = backlogs.map(|(shard, wait)| Backlog {
@@ -81,21 +81,21 @@
             wait_ms: u32::try_from(wait.as_millis()).unwrap_or(u32::MAX),
         });
         let unlisted: Vec<Instance> = {
-            let knowledge = self.state.knowledge();
-            let unlisted = knowledge.instances.unlisted(now);
+            let cluster = self.state.cluster();
+            let unlisted = cluster.instances.unlisted(now);
             unlisted.map(peer_instance::wire_instance).collect()
         };
         Ok(tonic::Response::new(BeatReply {
-            incarnation: self.state.me.incarnation.get(),
+            incarnation: self.state.own_entry.incarnation.get(),
             leaving: self.state.is_leaving(),
             ready: self.state.is_ready(),
             proof: peer_news::wire_proof(&self.state),
             backlogs: backlogs.collect(),
             unlisted,
-            has_read: self.state.has_read(),
+            has_read: self.state.has_read_store(),
             quarantine: peer_quarantine::wire_quarantine(&self.state.quarantine, now),
             limits: peer_limits::told(&self.state),
-            version: self.state.knowledge().deployment_version(),
+            version: self.state.cluster().deployment_version(),
         }))
     }
 
@@ -129,7 +129,7 @@
         req: tonic::Request<ReleaseRequest>,
     ) -> Result<tonic::Response<ReleaseReply>, Status> {
         let results = req.into_inner().results.into_iter();
-        self.batches
+        self.dispatcher
             .release(results.map(CompactString::from).collect());
         Ok(tonic::Response::new(ReleaseReply {}))
     }
@@ -142,7 +142,7 @@
         let shard = req.shard.clone().map(peer_stages::shard_of);
         let shard = shard.ok_or_else(|| Status::invalid_argument("no shard is named"))?;
         let job = peer_stages::job_of(req, self.state.now())?;
-        let reply = match self.batches.run(shard, job).await {
+        let reply = match self.dispatcher.run(shard, job).await {
             Ok(results) => StagesReply {
                 results: results.into_iter().map(String::from).collect(),
                 ..StagesReply::default()
--- a/crates/gateway/src/peer_limits.rs
+++ b/crates/gateway/src/peer_limits.rs
@@ -58,7 +58,7 @@
     now: MonoTime,
 ) -> PermitRequest {
     PermitRequest {
-        limit: Some(wire_limit(&upstream.upstream, notice, now)),
+        limit: Some(wire_limit(&upstream.id, notice, now)),
         priority: u32::from(priority),
     }
 }
--- a/crates/gateway/src/peer_news.rs
+++ b/crates/gateway/src/peer_news.rs
@@ -42,10 +42,10 @@
 /// The question for another's news, by what is known here.
 pub(crate) fn question(state: &State, id: Incarnation, wait: Duration) -> FollowRequest {
     let now = state.now();
-    let knowledge = state.knowledge();
-    let after = knowledge.mirror.revision();
-    let knows_away = knowledge.source_state(now, id) == SourceState::StoreAway;
-    drop(knowledge);
+    let cluster = state.cluster();
+    let after = cluster.mirror.revision();
+    let knows_away = cluster.source_state(now, id) == SourceState::StoreAway;
+    drop(cluster);
     FollowRequest {
         after: after.revision,
         after_era: after.era,
@@ -133,8 +133,8 @@
 /// One who `has` a part of the piece that was packed before is told the rest of it.
 fn packed(state: &State, after: StoreRevision, has: StoreRevision) -> Option<PackedNews> {
     let mut pieces = lock(&state.packed);
-    let knowledge = state.knowledge();
-    let mirror = &knowledge.mirror;
+    let cluster = state.cluster();
+    let mirror = &cluster.mirror;
     if mirror.revision() == StoreRevision::NOTHING || !mirror.is_behind(after) {
         return None;
     }
@@ -148,7 +148,7 @@
         || packed.bytes.is_empty();
     if is_old {
         let all = mirror.since(StoreRevision::NOTHING);
-        drop(knowledge);
+        drop(cluster);
         match jd_wire::pack(wire_items(all.items)) {
             Ok(bytes) => {
                 let latest = PackedNews {
@@ -173,13 +173,13 @@
 /// told after the whole wait, so that a zone was five seconds behind the store.
 pub(crate) async fn answer(state: &State, req: FollowRequest) -> FollowReply {
     let came = state.now();
-    if at(req.after_era, req.after) == StoreRevision::NOTHING && !state.has_read() {
-        state.all_wanted.give();
+    if at(req.after_era, req.after) == StoreRevision::NOTHING && !state.has_read_store() {
+        state.snapshot_requested.notify();
     }
     let until = came + Duration::from_millis(u64::from(req.wait_ms));
     let away = req.knows_away;
     loop {
-        let news = state.news.listen();
+        let news = state.changes.listen();
         let left = until.since(state.now());
         if left.is_zero() || is_news(state, came, &req, away) {
             break;
@@ -201,7 +201,7 @@
         ..FollowReply::default()
     };
     if jd_wire::put_part(&mut reply, &packed.bytes, &req) {
-        let news = state.knowledge().mirror.since(asked.max(packed.revision));
+        let news = state.cluster().mirror.since(asked.max(packed.revision));
         reply.revision = news.revision.revision;
         reply.era = news.revision.era;
         reply.whole = news.whole;
@@ -214,10 +214,10 @@
     if state.has_lost_store() != away {
         return true;
     }
-    let knowledge = state.knowledge();
+    let cluster = state.cluster();
     let theirs = req.proof.map(|p| proof_at(came, p).asked);
     // It counts there only if it is of the same era.
-    let ours = knowledge.freshness.proof();
+    let ours = cluster.freshness.proof();
     let ours = ours.filter(|p| p.revision.era == req.after_era);
     let ours = ours.map(|p| p.asked);
     let younger = match (ours, theirs) {
@@ -225,12 +225,12 @@
         (ours, None) => ours.is_some(),
         (None, Some(_)) => false,
     };
-    younger || knowledge.mirror.revision() > at(req.after_era, req.after)
+    younger || cluster.mirror.revision() > at(req.after_era, req.after)
 }
 
 /// The youngest proof of what is in force, with its age.
 pub(crate) fn wire_proof(state: &State) -> Option<WireProof> {
-    let proof = state.knowledge().freshness.proof()?;
+    let proof = state.cluster().freshness.proof()?;
     let age = state.now().since(proof.asked);
     Some(WireProof {
         revision: proof.revision.revision,
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -66,8 +66,8 @@
         loop {
             self.note_owners(&mut firsts);
             let all: Vec<InstanceEntry> = {
-                let knowledge = self.state.knowledge();
-                knowledge.instances.entries().cloned().collect()
+                let cluster = self.state.cluster();
+                cluster.instances.entries().cloned().collect()
             };
             self.state.channels.keep(&all);
             let pause = match all.is_empty() {
@@ -81,8 +81,8 @@
             }
             // What was newly heard of requests and upstreams is told at once.
             Timer::after(pause.min(BEAT_SOONEST)).await;
-            let soon = &self.state.beat_soon;
-            soon.wait(pause.saturating_sub(BEAT_SOONEST)).await;
+            let soon = &self.state.heartbeat_requested;
+            soon.wait_timeout(pause.saturating_sub(BEAT_SOONEST)).await;
         }
     }
 
@@ -201,17 +201,17 @@
     }
 
     fn address_of(&self, id: Incarnation) -> Option<SocketAddr> {
-        let knowledge = self.state.knowledge();
-        Some(knowledge.instances.entry(id)?.peers)
+        let cluster = self.state.cluster();
+        Some(cluster.instances.entry(id)?.peers)
     }
 
     /// The instances that heartbeats are exchanged with, noted as watched.
     fn watched(&self, mut all: Vec<InstanceEntry>) -> Vec<InstanceEntry> {
         let shards = self.state.watched_shards();
         let source = self.state.news_source().instance();
-        let ids = watched(&self.state.me, &all, &shards, source);
+        let ids = watched(&self.state.own_entry, &all, &shards, source);
         let now = self.state.now();
-        self.state.knowledge().instances.watch(now, &ids);
+        self.state.cluster().instances.watch(now, &ids);
         all.retain(|e| ids.contains(&e.incarnation));
         all
     }
@@ -220,10 +220,10 @@
         let channel = self.state.channels.to(peer.peers);
         let mut client = GatewayClient::new(channel.clone());
         let beat = BeatRequest {
-            incarnation: self.state.me.incarnation.get(),
+            incarnation: self.state.own_entry.incarnation.get(),
             leaving: self.state.is_leaving(),
             ready: self.state.is_ready(),
-            has_read: self.state.has_read(),
+            has_read: self.state.has_read_store(),
             quarantine: peer_quarantine::wire_quarantine(&self.state.quarantine, self.state.now()),
             limits: peer_limits::told(&self.state),
         };
@@ -241,24 +241,24 @@
         let told = peer_quarantine::quarantine_of(reply.quarantine);
         self.state.quarantine.take(now, Source::Beat, told);
         peer_limits::take(&self.state, reply.limits);
-        let mut knowledge = self.state.knowledge();
+        let mut cluster = self.state.cluster();
         // The reply was made after the beat was sent, so the question that it
         // tells of was put at that moment less its age or later.
         if let Some(proof) = reply.proof {
-            knowledge.freshness.adopt(peer_news::proof_at(sent, proof));
+            cluster.freshness.adopt(peer_news::proof_at(sent, proof));
         }
         for backlog in reply.backlogs {
             let wait = Duration::from_millis(u64::from(backlog.wait_ms));
             if let Some(shard) = backlog.shard {
-                knowledge
+                cluster
                     .backlogs
                     .insert(peer_stages::shard_of(shard), (now, wait));
             }
         }
         let unlisted = reply.unlisted.iter();
         for entry in unlisted.filter_map(peer_instance::instance_of) {
-            if entry.peers != self.state.me.peers {
-                knowledge.instances.told(now, entry);
+            if entry.peers != self.state.own_entry.peers {
+                cluster.instances.told(now, entry);
             }
         }
         let said = Heartbeat {
@@ -268,11 +268,11 @@
         };
         match Incarnation::new(reply.incarnation) {
             id if id == peer.incarnation => {
-                knowledge.instances.heard(now, id, said);
-                knowledge.note_version(now, id, reply.version);
+                cluster.instances.heard(now, id, said);
+                cluster.record_version(now, id, reply.version);
             }
             later => {
-                let instances = &mut knowledge.instances;
+                let instances = &mut cluster.instances;
                 instances.started_anew(now, peer.incarnation, later);
                 instances.heard(now, later, said);
             }
--- a/crates/gateway/src/turns.rs
+++ b/crates/gateway/src/permit_retries.rs
@@ -27,11 +27,11 @@
 
 /// When this instance may ask again for permits that it did not get, by upstream.
 #[derive(Debug, Default)]
-pub(crate) struct Turns {
+pub(crate) struct PermitRetries {
     by_id: Mutex<HashMap<CompactString, Turn>>,
 }
 
-impl Turns {
+impl PermitRetries {
     /// There is no permit for an upstream until `wait` is over.
     pub(crate) fn note(&self, now: MonoTime, id: &str, wait: Duration) {
         let mut turns = lock(&self.by_id);
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -88,8 +88,8 @@
                 next
             });
             if is_news {
-                self.to_answer.give();
-                self.to_tell.give();
+                self.to_answer.notify();
+                self.to_tell.notify();
             }
             // Suspicions are logged where they arise: there can be many.
             if is_news && t.state.phase != QuarantinePhase::Suspected {
@@ -131,7 +131,7 @@
         lock(&self.recent).note(now, service, content);
         let held = self.list.load().of(now, content);
         if held.is_some_and(|h| h.state.is_open()) {
-            self.run_events.add(RunEvent::Ran(CompletedRun {
+            self.run_events.add(RunEvent::Completed(CompletedRun {
                 service: service.into(),
                 content,
                 at: now,
--- a/crates/gateway/src/quarantine_coordinator.rs
+++ b/crates/gateway/src/quarantine_coordinator.rs
@@ -79,7 +79,7 @@
                 self.release(now, content, "it ran to its end");
             }
         }
-        self.told.give();
+        self.told.notify();
     }
 
     /// True if a request ran well after something was held against it. So one that was
@@ -88,7 +88,7 @@
     /// Guards against the pieces of its stages, which run well at other services before
     /// it ends each upstream that runs itself: each released it.
     fn is_later(&self, now: MonoTime, run: &CompletedRun) -> bool {
-        if self.link.state.does_stages(&run.service) {
+        if self.link.state.serves_stages(&run.service) {
             return false;
         }
         let list = self.link.state.quarantine.list();
@@ -104,7 +104,7 @@
                 true => LOOK_IDLE,
                 false => LOOK_EVERY,
             };
-            self.told.wait(pause).await;
+            self.told.wait_timeout(pause).await;
             self.look();
             let now = self.link.state.now();
             if self.is_idle() || now < write_from || !self.is_first() {
@@ -126,7 +126,7 @@
 
     fn is_first(&self) -> bool {
         let state = &self.link.state;
-        state.coordinators().first() == Some(&state.me.peers)
+        state.coordinators().first() == Some(&state.own_entry.peers)
     }
 
     fn look(&self) {
--- a/crates/gateway/src/result_free.rs
+++ b/crates/gateway/src/result_free_queue.rs
@@ -12,8 +12,8 @@
 use jd_serving::UpstreamStart;
 
 use crate::run_events::UpstreamRef;
-use crate::send_gate::Purpose;
 use crate::state::State;
+use crate::upstream_client::SendPurpose;
 
 /// How long results are gathered before one call gives them up. Far below the
 /// time after which upstreams drop them by themselves.
@@ -26,25 +26,25 @@
 /// Guards against upstreams running out of room: each keeps a result for
 /// seconds after everybody has read it, and refuses pieces meanwhile.
 #[derive(Debug)]
-pub(crate) struct ResultFree {
+pub(crate) struct ResultFreeQueue {
     state: Arc<State>,
-    gathered: Mutex<HashMap<SocketAddr, Vec<CompactString>>>,
+    pending: Mutex<HashMap<SocketAddr, Vec<CompactString>>>,
 }
 
-impl ResultFree {
-    pub(crate) fn new(state: Arc<State>) -> ResultFree {
-        ResultFree {
+impl ResultFreeQueue {
+    pub(crate) fn new(state: Arc<State>) -> ResultFreeQueue {
+        ResultFreeQueue {
             state,
-            gathered: Mutex::default(),
+            pending: Mutex::default(),
         }
     }
 
     /// Nobody works on these any more.
     pub(crate) fn add(&self, handles: Vec<CompactString>) {
-        let mut gathered = lock(&self.gathered);
+        let mut pending = lock(&self.pending);
         for handle in handles {
             if let Some(address) = self.state.dialect.result_address(&handle) {
-                gathered.entry(address).or_default().push(handle);
+                pending.entry(address).or_default().push(handle);
             }
         }
     }
@@ -53,8 +53,8 @@
     pub(crate) async fn run(self: Arc<Self>) {
         loop {
             Timer::after(GATHER).await;
-            let gathered = std::mem::take(&mut *lock(&self.gathered));
-            for (address, handles) in gathered {
+            let pending = std::mem::take(&mut *lock(&self.pending));
+            for (address, handles) in pending {
                 let this = Arc::clone(&self);
                 let freeing = async move { this.free(address, &handles).await };
                 self.state.executor.spawn(freeing).detach();
@@ -64,7 +64,7 @@
 
     /// Gives up at once what is gathered for one upstream.
     pub(crate) async fn flush(&self, address: SocketAddr) {
-        let handles = lock(&self.gathered).remove(&address);
+        let handles = lock(&self.pending).remove(&address);
         if let Some(handles) = handles {
             self.free(address, &handles).await;
         }
@@ -79,19 +79,25 @@
 
     async fn tell(&self, address: SocketAddr, handles: &[CompactString]) -> bool {
         let state = &self.state;
-        let listed = state.upstreams.load().at(address);
+        let listed = state.upstreams.load().by_address(address);
         // One that leaves is listed no more, and still has results.
         let upstream = listed.unwrap_or_else(|| UpstreamRef {
             service: CompactString::default(),
-            upstream: CompactString::default(),
+            id: CompactString::default(),
             start: UpstreamStart::UNTOLD,
             address,
         });
-        let Ok(permit) = state.gate.permit(state, upstream, Purpose::Upkeep).await else {
+        let Ok(permit) = state
+            .upstream_client
+            .permit(state, upstream, SendPurpose::Maintenance)
+            .await
+        else {
             return false;
         };
-        let req = state.dialect.free_request(handles);
-        let sending = state.gate.send(state, permit, req, CALL_WITHIN, || {});
+        let req = state.dialect.free_results_request(handles);
+        let sending = state
+            .upstream_client
+            .send(state, permit, req, CALL_WITHIN, || {});
         match sending.await {
             // Read to its end, so that the connection can be used again.
             Ok(response) => response.whole(1 << 16).await.is_ok(),
--- a/crates/gateway/src/result_release.rs
+++ b/crates/gateway/src/result_release_queue.rs
@@ -10,9 +10,9 @@
 use compact_str::CompactString;
 use jd_net::lock;
 
+use crate::batch_dispatcher::BatchDispatcher;
 use crate::peers::Peers;
-use crate::result_free::ResultFree;
-use crate::stage_batches::StageBatches;
+use crate::result_free_queue::ResultFreeQueue;
 use crate::state::State;
 
 /// How long results are gathered before their owner is told. Short against a
@@ -22,20 +22,20 @@
 /// Tells the instances that had stages done which results are no longer
 /// needed. They count the room of the upstreams, so they give the results up.
 #[derive(Debug)]
-pub(crate) struct ResultRelease {
+pub(crate) struct ResultReleaseQueue {
     pub(crate) state: Arc<State>,
-    pub(crate) batches: Arc<StageBatches>,
+    pub(crate) dispatcher: Arc<BatchDispatcher>,
     pub(crate) peers: Arc<Peers>,
-    pub(crate) free: Arc<ResultFree>,
-    pub(crate) gathered: Mutex<HashMap<SocketAddr, Vec<CompactString>>>,
+    pub(crate) free_queue: Arc<ResultFreeQueue>,
+    pub(crate) pending: Mutex<HashMap<SocketAddr, Vec<CompactString>>>,
 }
 
-impl ResultRelease {
+impl ResultReleaseQueue {
     /// Nobody works on these results of `owner` any more.
     pub(crate) fn add(&self, owner: SocketAddr, handles: Vec<CompactString>) {
         if !handles.is_empty() {
-            let mut gathered = lock(&self.gathered);
-            gathered.entry(owner).or_default().extend(handles);
+            let mut pending = lock(&self.pending);
+            pending.entry(owner).or_default().extend(handles);
         }
     }
 
@@ -43,10 +43,10 @@
     pub(crate) async fn run(self: Arc<Self>) {
         loop {
             Timer::after(GATHER).await;
-            let gathered = std::mem::take(&mut *lock(&self.gathered));
-            for (owner, handles) in gathered {
-                if owner == self.state.me.peers {
-                    self.batches.release(handles);
+            let pending = std::mem::take(&mut *lock(&self.pending));
+            for (owner, handles) in pending {
+                if owner == self.state.own_entry.peers {
+                    self.dispatcher.release(handles);
                     continue;
                 }
                 let this = Arc::clone(&self);
@@ -59,7 +59,7 @@
     /// Without their owner the results are given up from here.
     async fn tell(&self, owner: SocketAddr, handles: Vec<CompactString>) {
         if !self.peers.release_results(owner, &handles).await {
-            self.free.add(handles);
+            self.free_queue.add(handles);
         }
     }
 }
--- a/crates/gateway/src/run_events.rs
+++ b/crates/gateway/src/run_events.rs
@@ -18,7 +18,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct UpstreamRef {
     pub(crate) service: CompactString,
-    pub(crate) upstream: CompactString,
+    pub(crate) id: CompactString,
     pub(crate) start: UpstreamStart,
     pub(crate) address: SocketAddr,
 }
@@ -27,14 +27,14 @@
 #[derive(Debug)]
 pub(crate) enum RunEvent {
     /// Its connection broke before its end.
-    Broke {
+    Broken {
         at: MonoTime,
         upstream: UpstreamRef,
         content: Content,
         began: MonoTime,
     },
     /// It came to its end, and something is held against its request.
-    Ran(CompletedRun),
+    Completed(CompletedRun),
 }
 
 /// Events on their way.
--- a/crates/gateway/src/service_apis.rs
+++ b/crates/gateway/src/service_apis.rs
@@ -32,14 +32,14 @@
             return status(StatusCode::NOT_FOUND);
         };
         let now = state.now();
-        let own = state.is_ready().then_some(&state.me);
-        let addresses = state.knowledge().instances.addresses(now, &query.zone, own);
+        let own = state.is_ready().then_some(&state.own_entry);
+        let addresses = state.cluster().instances.addresses(now, &query.zone, own);
         // Without any address the caller is better served by another instance.
         if addresses.is_empty() {
             return status(StatusCode::SERVICE_UNAVAILABLE);
         }
         let lifetime = state.settings.answer_lifetime;
-        json(state.dialect.locate_answer(&addresses, lifetime))
+        json(state.dialect.locate_response(&addresses, lifetime))
     }
 }
 
--- a/crates/gateway/src/signal.rs
+++ b/crates/gateway/src/signal.rs
@@ -20,19 +20,19 @@
         Signal { tx, rx }
     }
 
-    pub(crate) fn give(&self) {
+    pub(crate) fn notify(&self) {
         // Fails only if one is kept already, which says the same.
         let _ = self.tx.try_send(());
     }
 
     /// Waits for the signal as long as it takes.
-    pub(crate) async fn given(&self) {
+    pub(crate) async fn wait(&self) {
         // Fails only if the sender is gone, and it is in this very struct.
         let _ = self.rx.recv().await;
     }
 
     /// Waits for the signal, at most `limit`; false if that came first.
-    pub(crate) async fn wait(&self, limit: Duration) -> bool {
+    pub(crate) async fn wait_timeout(&self, limit: Duration) -> bool {
         // Fails only if the sender is gone, and it is in this very struct.
         let given = async { self.rx.recv().await.is_ok() };
         let late = async {
--- a/crates/gateway/src/stage_runner.rs
+++ b/crates/gateway/src/stage_runner.rs
@@ -18,11 +18,11 @@
 use jd_types::Refusal;
 use jd_types::RefusalKind;
 
-use crate::call::Call;
+use crate::batch_dispatcher::BatchDispatcher;
+use crate::caller_request::CallerRequest;
 use crate::peers::Peers;
-use crate::result_release::ResultRelease;
+use crate::result_release_queue::ResultReleaseQueue;
 use crate::signal::Signal;
-use crate::stage_batches::StageBatches;
 use crate::state::State;
 
 /// What an upstream takes from the request to its first event, about: the part
@@ -52,9 +52,9 @@
 #[derive(Debug)]
 pub(crate) struct StageRunner {
     pub(crate) state: Arc<State>,
-    pub(crate) batches: Arc<StageBatches>,
+    pub(crate) dispatcher: Arc<BatchDispatcher>,
     pub(crate) peers: Arc<Peers>,
-    pub(crate) release: Arc<ResultRelease>,
+    pub(crate) release_queue: Arc<ResultReleaseQueue>,
 }
 
 /// Results of stages that a request works on; given up once, at the latest when
@@ -64,7 +64,7 @@
     handles: Vec<CompactString>,
     held: AtomicBool,
     owner: SocketAddr,
-    release: Arc<ResultRelease>,
+    release_queue: Arc<ResultReleaseQueue>,
 }
 
 impl StageResults {
@@ -73,9 +73,9 @@
     }
 
     /// Nobody works on them any more.
-    pub(crate) fn free(&self) {
+    pub(crate) fn release(&self) {
         if self.held.swap(false, Ordering::Relaxed) {
-            self.release.add(self.owner, self.handles.to_vec());
+            self.release_queue.add(self.owner, self.handles.to_vec());
         }
     }
 
@@ -86,40 +86,40 @@
     /// counted from the choice of an upstream, a connection that would not open
     /// outlasted them, the next upstream found them gone, and all stages were done
     /// again, in a fleet that had just lost a part of its upstreams.
-    pub(crate) async fn free_when_read<T>(&self, written: &Signal) -> T {
-        written.given().await;
+    pub(crate) async fn release_when_read<T>(&self, written: &Signal) -> T {
+        written.wait().await;
         Timer::after(RESULTS_READ).await;
-        self.free();
+        self.release();
         futures_lite::future::pending().await
     }
 }
 
 impl Drop for StageResults {
     fn drop(&mut self) {
-        self.free();
+        self.release();
     }
 }
 
 impl StageRunner {
     /// Has the stages of a request done. Nothing of the request itself has run
     /// when this refuses.
-    pub(crate) async fn run(&self, call: &Call) -> Result<StageResults, Refusal> {
-        call.check_quarantine(&self.state, 0)?;
-        let (owner, handles) = match self.job(call) {
-            None => (self.state.me.peers, Vec::new()),
-            Some(job) => self.run_job(call, &job).await?,
+    pub(crate) async fn run(&self, request: &CallerRequest) -> Result<StageResults, Refusal> {
+        request.check_quarantine(&self.state, 0)?;
+        let (owner, handles) = match self.job(request) {
+            None => (self.state.own_entry.peers, Vec::new()),
+            Some(job) => self.run_job(request, &job).await?,
         };
         Ok(StageResults {
             held: AtomicBool::new(true),
             handles,
             owner,
-            release: Arc::clone(&self.release),
+            release_queue: Arc::clone(&self.release_queue),
         })
     }
 
     async fn run_job(
         &self,
-        call: &Call,
+        request: &CallerRequest,
         job: &StageJob,
     ) -> Result<(SocketAddr, Vec<CompactString>), Refusal> {
         let began = self.state.now();
@@ -136,7 +136,7 @@
         };
         self.state.metrics.stages(outcome, took);
         log::info!(
-            request = call.id(),
+            request = request.id(),
             outcome,
             ms = took.as_millis() as u64;
             "stages ended"
@@ -149,9 +149,9 @@
         &self,
         job: &StageJob,
     ) -> Result<(SocketAddr, Vec<CompactString>), JobFailure> {
-        let me = self.state.me.peers;
+        let me = self.state.own_entry.peers;
         let shard = self.shard(job).ok_or(JobFailure::NoUpstream)?;
-        self.state.use_shard(&shard);
+        self.state.mark_shard_used(&shard);
         for owner in self.state.owner_order(&shard) {
             if owner == me {
                 break;
@@ -172,7 +172,7 @@
             }
             log::warn!(owner:% = owner, request = job.request_id.as_str(); "owner of stages silent");
         }
-        let handles = self.batches.run(shard, job.clone()).await?;
+        let handles = self.dispatcher.run(shard, job.clone()).await?;
         Ok((me, handles))
     }
 
@@ -193,7 +193,7 @@
 
     fn is_heard(&self, owner: SocketAddr) -> bool {
         let now = self.state.now();
-        self.state.knowledge().instances.is_there(now, owner)
+        self.state.cluster().instances.is_there(now, owner)
     }
 
     /// The shard that a job goes to; none if no shard does all of its stages.
@@ -218,9 +218,9 @@
         }
     }
 
-    fn job(&self, call: &Call) -> Option<StageJob> {
-        let route = call.route();
-        let pieces = |n: usize| call.head.pieces.get(n).copied().unwrap_or(0);
+    fn job(&self, request: &CallerRequest) -> Option<StageJob> {
+        let route = request.route();
+        let pieces = |n: usize| request.head.pieces.get(n).copied().unwrap_or(0);
         let numbered = route.stages.iter().enumerate();
         let stages: Vec<JobStage> = numbered
             .map(|(n, s)| JobStage {
@@ -234,37 +234,44 @@
             return None;
         }
         Some(StageJob {
-            request_id: call.id().into(),
-            content: call.content,
-            piece_key: call.head.piece_key.clone().unwrap_or_default(),
+            request_id: request.id().into(),
+            content: request.content,
+            piece_key: request.head.piece_key.clone().unwrap_or_default(),
             stages,
-            objective: call.objective().before(GENERATION_START),
-            deadline: give_up_at(call),
-            priority: call.priority,
-            zone: self.wanted_zone(call),
+            objective: request.objective_deadline().before(GENERATION_START),
+            deadline: give_up_at(request),
+            priority: request.priority,
+            zone: self.wanted_zone(request),
         })
     }
 
     /// The zone of the upstream that keeps the session's prompt, also while that is
     /// cold. Else all stages would go to the other zones after a zone came back, and
     /// its upstreams of stages, which are never cold, would have nothing to do.
-    fn wanted_zone(&self, call: &Call) -> Option<Name> {
-        let prompt = call.head.prompt.as_ref()?;
+    fn wanted_zone(&self, request: &CallerRequest) -> Option<Name> {
+        let prompt = request.head.prompt.as_ref()?;
         let (now, instances) = (self.state.now(), self.state.instance_count());
         let table = self.state.upstreams.load();
-        let check = self.state.no_check();
-        let chosen = table.place(&call.service, now, prompt.session(), instances, &[], &check)?;
+        let check = self.state.unfiltered();
+        let chosen = table.pick_for_session(
+            &request.service,
+            now,
+            prompt.session(),
+            instances,
+            &[],
+            &check,
+        )?;
         Some(chosen.upstream.hall.clone())
     }
 }
 
 /// When the stages of a request are given up: early enough for the request
 /// itself to run, and for its caller to hear of it while it still waits.
-fn give_up_at(call: &Call) -> MonoTime {
-    let route = call.route();
+fn give_up_at(request: &CallerRequest) -> MonoTime {
+    let route = request.route();
     let abandoned = route.objective * ABANDON_OBJECTIVES;
-    let waited = abandoned.min(call.deadline.since(call.arrived));
-    call.arrived + waited * GIVE_UP_PERCENT / 100
+    let waited = abandoned.min(request.deadline.since(request.arrived));
+    request.arrived + waited * GIVE_UP_PERCENT / 100
 }
 
 /// The name of a failure in logs and metrics.
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -39,22 +39,22 @@
 use jd_types::spread_address;
 
 use crate::Dialect;
-use crate::knowledge::Knowledge;
+use crate::cluster_state::ClusterState;
 use crate::latch::Latch;
 use crate::limiters::Limiters;
 use crate::limits::Limits;
 use crate::metrics::Metrics;
-use crate::notices::Notices;
 use crate::peer_channels::PeerChannels;
 use crate::peer_news::PackedPieces;
+use crate::permit_retries::PermitRetries;
 use crate::quarantine::Quarantine;
 use crate::run_events::RunEvent;
 use crate::run_events::UpstreamRef;
-use crate::send_gate::SendGate;
 use crate::signal::Signal;
-use crate::turns::Turns;
-use crate::upstream_table::Limited;
-use crate::upstream_table::SendCheck;
+use crate::upstream_backoffs::UpstreamBackoffs;
+use crate::upstream_client::UpstreamClient;
+use crate::upstream_table::LimitFilter;
+use crate::upstream_table::SelectionFilter;
 use crate::upstream_table::UpstreamTable;
 
 /// How long an owner's word on its backlog counts: three heartbeats.
@@ -69,9 +69,9 @@
     pub(crate) settings: GatewaySettings,
     pub(crate) clock: Clock,
     pub(crate) executor: Arc<Executor<'static>>,
-    pub(crate) gate: SendGate,
+    pub(crate) upstream_client: UpstreamClient,
     pub(crate) dialect: Arc<dyn Dialect>,
-    pub(crate) me: InstanceEntry,
+    pub(crate) own_entry: InstanceEntry,
     pub(crate) router: ArcSwapOption<Router>,
     pub(crate) upstreams: ArcSwap<UpstreamTable>,
     pub(crate) shards: ArcSwap<ShardMap>,
@@ -83,27 +83,27 @@
     /// when to ask for these again.
     pub(crate) limits: Limits,
     pub(crate) limiters: Limiters,
-    pub(crate) turns: Turns,
+    pub(crate) permit_retries: PermitRetries,
     /// Which upstreams want nothing from this instance for a while.
-    pub(crate) notices: Notices,
+    pub(crate) backoffs: UpstreamBackoffs,
     pub(crate) channels: PeerChannels,
     /// Signals that other instances are to be told something at once.
-    pub(crate) beat_soon: Arc<Signal>,
+    pub(crate) heartbeat_requested: Arc<Signal>,
     /// Signals that proof is to be asked for at once, and that the store is back.
-    pub(crate) proof_wanted: Signal,
-    pub(crate) store_back: Signal,
+    pub(crate) proof_requested: Signal,
+    pub(crate) store_recovered: Signal,
     /// Signals that another instance wants to hear everything while this one has read
     /// nothing.
-    pub(crate) all_wanted: Signal,
+    pub(crate) snapshot_requested: Signal,
     /// Signals that this instance's entry was removed although it is there.
-    pub(crate) entry_gone: Signal,
+    pub(crate) own_entry_removed: Signal,
     /// Tells those that follow this instance that there is news.
-    pub(crate) news: Event,
+    pub(crate) changes: Event,
     /// What is told to instances that start.
     pub(crate) packed: Mutex<PackedPieces>,
     /// Set once it is known which instances the store lists.
-    pub(crate) listed: Latch,
-    knowledge: Mutex<Knowledge>,
+    pub(crate) instances_listed: Latch,
+    cluster: Mutex<ClusterState>,
     budgets: Mutex<HashMap<CompactString, RepeatBudget>>,
     leaving: AtomicBool,
     in_flight: AtomicUsize,
@@ -116,37 +116,37 @@
         executor: Arc<Executor<'static>>,
         pool: HttpPool,
         dialect: Arc<dyn Dialect>,
-        me: InstanceEntry,
+        own_entry: InstanceEntry,
     ) -> State {
-        let beat_soon = Arc::new(Signal::new());
+        let heartbeat_requested = Arc::new(Signal::new());
         let channels = PeerChannels::new(Arc::clone(&executor));
         State {
             settings,
             clock,
             executor,
-            gate: SendGate::new(pool),
+            upstream_client: UpstreamClient::new(pool),
             dialect,
-            me,
+            own_entry,
             router: ArcSwapOption::empty(),
             upstreams: ArcSwap::default(),
             shards: ArcSwap::default(),
             used_shards: Mutex::default(),
             metrics: Metrics::new(),
-            quarantine: Quarantine::new(Arc::clone(&beat_soon)),
-            limits: Limits::new(Arc::clone(&beat_soon)),
+            quarantine: Quarantine::new(Arc::clone(&heartbeat_requested)),
+            limits: Limits::new(Arc::clone(&heartbeat_requested)),
             limiters: Limiters::default(),
-            turns: Turns::default(),
-            notices: Notices::default(),
+            permit_retries: PermitRetries::default(),
+            backoffs: UpstreamBackoffs::default(),
             channels,
-            beat_soon,
-            proof_wanted: Signal::new(),
-            store_back: Signal::new(),
-            all_wanted: Signal::new(),
-            entry_gone: Signal::new(),
-            news: Event::new(),
+            heartbeat_requested,
+            proof_requested: Signal::new(),
+            store_recovered: Signal::new(),
+            snapshot_requested: Signal::new(),
+            own_entry_removed: Signal::new(),
+            changes: Event::new(),
             packed: Mutex::default(),
-            listed: Latch::default(),
-            knowledge: Mutex::default(),
+            instances_listed: Latch::default(),
+            cluster: Mutex::default(),
             budgets: Mutex::default(),
             leaving: AtomicBool::new(false),
             in_flight: AtomicUsize::new(0),
@@ -157,30 +157,30 @@
         self.clock.now()
     }
 
-    pub(crate) fn knowledge(&self) -> MutexGuard<'_, Knowledge> {
-        lock(&self.knowledge)
+    pub(crate) fn cluster(&self) -> MutexGuard<'_, ClusterState> {
+        lock(&self.cluster)
     }
 
     /// How old the newest proof is that nothing in force is missing here.
     pub(crate) fn proof_age(&self) -> Option<Duration> {
-        self.knowledge().freshness.age(self.now())
+        self.cluster().freshness.age(self.now())
     }
 
     /// For how long there has been no proof, at most since others were known from whom
     /// it might have come.
-    pub(crate) fn without_proof(&self) -> Duration {
+    pub(crate) fn time_without_proof(&self) -> Duration {
         let now = self.now();
-        let knowledge = self.knowledge();
-        let since = knowledge.listed_at.unwrap_or(now);
-        knowledge.freshness.age(now).unwrap_or(now.since(since))
+        let cluster = self.cluster();
+        let since = cluster.instances_listed_at.unwrap_or(now);
+        cluster.freshness.age(now).unwrap_or(now.since(since))
     }
 
     /// True if this instance has no way to the store, neither its own nor another's.
     pub(crate) fn has_lost_store(&self) -> bool {
         let now = self.now();
-        let knowledge = self.knowledge();
-        let own = knowledge.source_state(now, self.me.incarnation);
-        own == SourceState::StoreAway || knowledge.upstreams.is_store_away()
+        let cluster = self.cluster();
+        let own = cluster.source_state(now, self.own_entry.incarnation);
+        own == SourceState::StoreAway || cluster.upstreams.is_store_away()
     }
 
     /// True while requests may be sent on the strength of what is known here.
@@ -198,7 +198,7 @@
         self.leaving.load(Ordering::Relaxed)
     }
 
-    pub(crate) fn leave(&self) {
+    pub(crate) fn start_leaving(&self) {
         self.leaving.store(true, Ordering::Relaxed);
     }
 
@@ -210,8 +210,8 @@
     /// none: an owner that is silent is not avoided for what it said before.
     pub(crate) fn backlog(&self, shard: &Shard) -> Option<Duration> {
         let now = self.now();
-        let knowledge = self.knowledge();
-        match knowledge.backlogs.get(shard) {
+        let cluster = self.cluster();
+        match cluster.backlogs.get(shard) {
             Some((heard, wait)) if now.since(*heard) < BACKLOG_LASTS => Some(*wait),
             _ => None,
         }
@@ -221,18 +221,18 @@
     /// run stages. One that has just started anew goes on where its earlier start was.
     pub(crate) fn owner_order(&self, shard: &Shard) -> Vec<SocketAddr> {
         let now = self.now();
-        let knowledge = self.knowledge();
-        let others = knowledge.instances.able(now);
-        let own = (!self.is_leaving()).then_some(&self.me);
+        let cluster = self.cluster();
+        let others = cluster.instances.able(now);
+        let own = (!self.is_leaving()).then_some(&self.own_entry);
         let order = owners(shard, others.chain(own), MAX_OWNERS);
         order.into_iter().map(|e| e.peers).collect()
     }
 
     /// Stages of a shard are asked for or done here, so that its owners are watched from
     /// now on.
-    pub(crate) fn use_shard(&self, shard: &Shard) {
+    pub(crate) fn mark_shard_used(&self, shard: &Shard) {
         if lock(&self.used_shards).note(self.now(), shard) {
-            self.beat_soon.give();
+            self.heartbeat_requested.notify();
         }
     }
 
@@ -254,24 +254,24 @@
     /// True if this instance is the one that is asked first.
     pub(crate) fn owns(&self, shard: &Shard) -> bool {
         let known = self.shards.load().has(shard);
-        known && self.owner_order(shard).first() == Some(&self.me.peers)
+        known && self.owner_order(shard).first() == Some(&self.own_entry.peers)
     }
 
     /// From whom this instance hears what the store holds.
     pub(crate) fn news_source(&self) -> NewsSource {
         let now = self.now();
-        let knowledge = self.knowledge();
-        let state = |id| knowledge.source_state(now, id);
-        news_source(&self.me, knowledge.instances.live(now), state)
+        let cluster = self.cluster();
+        let state = |id| cluster.source_state(now, id);
+        news_source(&self.own_entry, cluster.instances.live(now), state)
     }
 
     /// True once everything that the store holds has been read.
-    pub(crate) fn has_read(&self) -> bool {
-        self.knowledge().mirror.revision() > StoreRevision::NOTHING
+    pub(crate) fn has_read_store(&self) -> bool {
+        self.cluster().mirror.revision() > StoreRevision::NOTHING
     }
 
     /// Counts a request as in flight until the guard is dropped.
-    pub(crate) fn begin(self: &Arc<Self>) -> InFlight {
+    pub(crate) fn track_request(self: &Arc<Self>) -> InFlight {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
         InFlight(Arc::clone(self))
     }
@@ -279,7 +279,7 @@
     /// Instances that take callers, this one included.
     pub(crate) fn instance_count(&self) -> u32 {
         let now = self.now();
-        let live = self.knowledge().instances.live(now).count();
+        let live = self.cluster().instances.live(now).count();
         u32::try_from(live + 1).unwrap_or(u32::MAX)
     }
 
@@ -289,10 +289,10 @@
     /// alone.
     pub(crate) fn fleet_place(&self, upstream: SocketAddr) -> FleetPlace {
         let turn = |peers: SocketAddr| spread(spread_address(peers) ^ spread_address(upstream));
-        let own = turn(self.me.peers);
-        let knowledge = self.knowledge();
+        let own = turn(self.own_entry.peers);
+        let cluster = self.cluster();
         let mut place = FleetPlace { rank: 0, of: 1 };
-        for other in knowledge.instances.entries() {
+        for other in cluster.instances.entries() {
             place.of += 1;
             place.rank += u32::from(turn(other.peers) < own);
         }
@@ -307,25 +307,25 @@
     }
 
     /// What a choice for a service asks of upstreams.
-    pub(crate) fn send_check(&self, service: &str) -> SendCheck<'_> {
-        SendCheck {
+    pub(crate) fn selection_filter(&self, service: &str) -> SelectionFilter<'_> {
+        SelectionFilter {
             cold: self.cold_spec(service),
-            limited: Limited::Asked,
+            limit_filter: LimitFilter::PermitDue,
             state: self,
         }
     }
 
     /// A choice that asks nothing of them: nothing is sent on the strength of it.
-    pub(crate) fn no_check(&self) -> SendCheck<'_> {
-        SendCheck {
+    pub(crate) fn unfiltered(&self) -> SelectionFilter<'_> {
+        SelectionFilter {
             cold: None,
-            limited: Limited::Any,
+            limit_filter: LimitFilter::Any,
             state: self,
         }
     }
 
     /// A request goes to a service for the first time.
-    pub(crate) fn first_send(&self, service: &str) {
+    pub(crate) fn record_first_send(&self, service: &str) {
         let bound = self.repeat_bound();
         let now = self.now();
         let mut budgets = lock(&self.budgets);
@@ -336,7 +336,7 @@
     }
 
     /// True if a request may go to a service once more.
-    pub(crate) fn may_repeat(&self, service: &str) -> bool {
+    pub(crate) fn may_retry(&self, service: &str) -> bool {
         let bound = self.repeat_bound();
         let instances = self.instance_count() as usize;
         let now = self.now();
@@ -348,7 +348,7 @@
     }
 
     /// True if the upstreams of a service work on pieces of stages.
-    pub(crate) fn does_stages(&self, service: &str) -> bool {
+    pub(crate) fn serves_stages(&self, service: &str) -> bool {
         let router = self.router.load();
         let mut services = router.iter().flat_map(|r| r.services());
         services.any(|s| s.name == service && s.batch.is_some())
@@ -356,11 +356,16 @@
 
     /// The connection of a run broke before its end. Nothing is held against its request
     /// where its upstream was to leave: that was to come.
-    pub(crate) fn run_broke(&self, upstream: UpstreamRef, content: Content, began: MonoTime) {
-        if self.upstreams.load().start_of(&upstream.upstream).is_none() {
+    pub(crate) fn report_broken_run(
+        &self,
+        upstream: UpstreamRef,
+        content: Content,
+        began: MonoTime,
+    ) {
+        if self.upstreams.load().start_of(&upstream.id).is_none() {
             return;
         }
-        self.quarantine.run_events.add(RunEvent::Broke {
+        self.quarantine.run_events.add(RunEvent::Broken {
             at: self.now(),
             upstream,
             content,
@@ -372,24 +377,24 @@
     pub(crate) fn rebuild_upstreams(&self) {
         let now = self.now();
         let zone = &self.settings.zone;
-        let knowledge = self.knowledge();
-        let entries = knowledge.upstreams.entries();
+        let cluster = self.cluster();
+        let entries = cluster.upstreams.entries();
         let before = self.upstreams.load_full();
-        let next = before.next(now, entries, &knowledge.evacuated, zone);
-        let started_again = next.note_restarts(&before);
+        let next = before.rebuilt(now, entries, &cluster.evacuated_zones, zone);
+        let started_again = next.notify_restarts(&before);
         let start_of = |id: &str| next.start_of(id);
         self.limits.forget_gone(now, start_of, &self.metrics);
         self.upstreams.store(Arc::new(next));
-        drop(knowledge);
+        drop(cluster);
         for address in started_again {
-            self.gate.forget(address);
+            self.upstream_client.close_idle(address);
         }
-        self.divide_upstreams();
+        self.rebuild_shards();
     }
 
     /// Divides the upstreams of stages among owners anew, after they or the
     /// services that do stages changed.
-    pub(crate) fn divide_upstreams(&self) {
+    pub(crate) fn rebuild_shards(&self) {
         let router = self.router.load();
         let Some(router) = router.as_ref() else {
             return;
--- a/crates/gateway/src/store_follower.rs
+++ b/crates/gateway/src/store_follower.rs
@@ -133,12 +133,12 @@
     /// 985 that read only the list of each other kept it busy for ten.
     async fn read_first(&self, patience: Duration) -> Result<(), StoreError> {
         let state = &self.link.state;
-        if state.settings.first_start && state.listed.set() {
+        if state.settings.first_start && state.instances_listed.set() {
             // There are no entries of earlier starts. Its own is written meanwhile.
             Timer::after(START_SPREAD).await;
         }
         let sample = self.reader.read_sample(patience).await?;
-        match FirstSources::of_sample(state.me.incarnation, &sample) {
+        match FirstSources::of_sample(state.own_entry.incarnation, &sample) {
             Some(sources) => self.hear_first(sources).await,
             None => self.read_small_fleet(patience).await,
         }
@@ -154,7 +154,7 @@
             && state.now().since(asked) < RELAYS_WITHIN
         {
             self.follow_instance(id, FIRST_FOLLOW_WAIT).await;
-            if state.has_read() {
+            if state.has_read_store() {
                 return Ok(());
             }
         }
@@ -166,9 +166,9 @@
     async fn hear_first(&self, mut sources: FirstSources) -> Result<(), StoreError> {
         let state = &self.link.state;
         let asked = state.now();
-        let yields = sources.yields_for(state.me.strength);
+        let yields = sources.yields_for(state.own_entry.strength);
         let wanted = async {
-            state.all_wanted.given().await;
+            state.snapshot_requested.wait().await;
             Timer::after(yields).await;
             true
         };
@@ -181,7 +181,7 @@
                     // What it knows may be old, while the store answered here just now.
                     Some(_) | None => sources.is_silent(source),
                 }
-                if state.has_read() {
+                if state.has_read_store() {
                     return false;
                 }
             }
@@ -198,7 +198,7 @@
             self.intake.take(news);
         }
         if let Some(proof) = heard.proof {
-            self.link.state.knowledge().freshness.adopt(proof);
+            self.link.state.cluster().freshness.adopt(proof);
         }
     }
 
@@ -208,13 +208,13 @@
         loop {
             Timer::after(EXPIRE_EVERY).await;
             let now = state.now();
-            state.notices.expire(now);
+            state.backoffs.expire(now);
             let (gone, taken_back) = {
-                let mut knowledge = state.knowledge();
-                knowledge.forget_sources(now);
-                knowledge.instances.expire(now);
-                let gone = knowledge.upstreams.expire(now);
-                (gone, knowledge.evacuated.expire(now))
+                let mut cluster = state.cluster();
+                cluster.expire_source_states(now);
+                cluster.instances.expire(now);
+                let gone = cluster.upstreams.expire(now);
+                (gone, cluster.evacuated_zones.expire(now))
             };
             if gone {
                 log::info!("upstreams that lapsed with the store did not come back");
@@ -238,7 +238,7 @@
         let state = &self.link.state;
         loop {
             Timer::after(EXPIRE_EVERY).await;
-            let ahead = state.knowledge().ahead;
+            let ahead = state.cluster().newer_peer;
             let now = state.now();
             let Some((id, _)) = ahead.filter(|(_, since)| now.since(*since) >= AHEAD_FOR) else {
                 continue;
@@ -254,7 +254,7 @@
                     log::info!(source:% = id; "it does not answer; the next one that tells is asked")
                 }
             }
-            state.knowledge().ahead = None;
+            state.cluster().newer_peer = None;
         }
     }
 
@@ -268,7 +268,7 @@
                 Round::Kept
             }
             _ if last == Round::Lost => {
-                state.store_back.wait(AWAY_PAUSE).await;
+                state.store_recovered.wait_timeout(AWAY_PAUSE).await;
                 Round::Lost
             }
             NewsSource::Store => {
@@ -288,7 +288,7 @@
 
     async fn watch(&self, wait: Duration) -> Round {
         let state = &self.link.state;
-        let revision = state.knowledge().mirror.revision();
+        let revision = state.cluster().mirror.revision();
         let watching = self.link.store.watch(revision, wait);
         let patience = wait + CALL_WITHIN;
         match self.link.call(StoreCall::Watch, patience, watching).await {
@@ -314,7 +314,7 @@
             Err(e) => {
                 self.link.failed(StoreCall::Watch, e);
                 if state.news_source() == NewsSource::Store {
-                    state.store_back.wait(AWAY_PAUSE).await;
+                    state.store_recovered.wait_timeout(AWAY_PAUSE).await;
                 }
                 Round::Kept
             }
@@ -331,8 +331,8 @@
         };
         let Some(heard) = asking.or(gone).await else {
             let now = state.now();
-            let mut knowledge = state.knowledge();
-            knowledge.note_source(now, id, SourceState::Silent);
+            let mut cluster = state.cluster();
+            cluster.record_source_state(now, id, SourceState::Silent);
             return false;
         };
         let silent = heard.news.iter().all(|n| n.items.is_empty());
@@ -342,11 +342,11 @@
             true => self.source_lost_store(id),
             false => self.link.back(),
         }
-        if !store_away && state.without_proof() > FOLLOWED_PROOF_MOST {
+        if !store_away && state.time_without_proof() > FOLLOWED_PROOF_MOST {
             log::info!(source:% = id; "the instance followed brings no proof");
             let now = state.now();
-            let mut knowledge = state.knowledge();
-            knowledge.note_source(now, id, SourceState::Silent);
+            let mut cluster = state.cluster();
+            cluster.record_source_state(now, id, SourceState::Silent);
         }
         if !silent {
             Timer::after(GATHER).await;
@@ -362,9 +362,9 @@
     fn source_lost_store(&self, id: Incarnation) {
         let state = &self.link.state;
         let now = state.now();
-        let mut knowledge = state.knowledge();
-        knowledge.note_source(now, id, SourceState::StoreAway);
-        drop(knowledge);
+        let mut cluster = state.cluster();
+        cluster.record_source_state(now, id, SourceState::StoreAway);
+        drop(cluster);
         if state.news_source().instance() == Some(id) {
             self.link.away();
         } else {
@@ -389,7 +389,7 @@
         loop {
             Timer::after(NEWS_BEHIND).await;
             let now = state.now();
-            if !state.knowledge().instances.is_heard(now, id) {
+            if !state.cluster().instances.is_heard(now, id) {
                 return;
             }
         }
@@ -398,7 +398,7 @@
     /// Returns once the store is known to have had changes for a while that did
     /// not come: a connection is silent, or the store is deaf.
     async fn until_behind(&self) {
-        let is_behind = || self.link.state.knowledge().freshness.is_behind();
+        let is_behind = || self.link.state.cluster().freshness.is_behind();
         loop {
             Timer::after(NEWS_BEHIND).await;
             if is_behind() {
--- a/crates/gateway/src/store_intake.rs
+++ b/crates/gateway/src/store_intake.rs
@@ -21,7 +21,7 @@
 use crate::QuarantineRecord;
 use crate::Record;
 use crate::Store;
-use crate::knowledge::KnownDeployment;
+use crate::cluster_state::ActiveDeployment;
 use crate::quarantine::Source;
 use crate::quarantine::Told;
 use crate::state::State;
@@ -83,7 +83,7 @@
             items,
             revision,
         } = news;
-        let known = self.state.knowledge().mirror.revision();
+        let known = self.state.cluster().mirror.revision();
         match whole {
             true if revision < known => {
                 log::warn!(revision:%, known:%; "reading of the store is older than what is known, and passed over");
@@ -95,12 +95,12 @@
         }
         let now = self.state.now();
         {
-            let mut knowledge = self.state.knowledge();
-            knowledge.freshness.applied(revision);
-            knowledge.listed_at.get_or_insert(now);
+            let mut cluster = self.state.cluster();
+            cluster.freshness.applied(revision);
+            cluster.instances_listed_at.get_or_insert(now);
         }
-        self.state.listed.set();
-        self.state.news.notify(usize::MAX);
+        self.state.instances_listed.set();
+        self.state.changes.notify(usize::MAX);
         true
     }
 
@@ -112,13 +112,13 @@
             }
         }
         let now = self.state.now();
-        self.state.knowledge().listed_at.get_or_insert(now);
-        self.state.listed.set();
+        self.state.cluster().instances_listed_at.get_or_insert(now);
+        self.state.instances_listed.set();
     }
 
     /// The other instances that items name.
     pub(crate) fn sampled(&self, items: &[StoreItem]) -> Vec<InstanceEntry> {
-        let me = &self.state.me;
+        let me = &self.state.own_entry;
         let entries = self.decode(items).into_iter();
         let entries = entries.filter_map(|(change, _)| match change {
             Change::Put(Record::Instance(entry)) if entry.peers != me.peers => Some(entry),
@@ -144,7 +144,7 @@
         };
         let items = self.keep_deployment(items, revision, true);
         let changes: Vec<(Change, StoreItem)> = self.decode(&items);
-        self.state.knowledge().mirror.replace(items, revision);
+        self.state.cluster().mirror.replace(items, revision);
         let mut upstreams: Vec<UpstreamEntry> = Vec::new();
         let mut instances: Vec<Incarnation> = Vec::new();
         let mut quarantined: Vec<Content> = Vec::new();
@@ -179,24 +179,24 @@
             log::warn!(revision:%, known:%; "store was restored from a copy; what it lost is written again");
         }
         {
-            let mut knowledge = self.state.knowledge();
-            knowledge.instances.relist(now, &instances, reading);
-            changed |= knowledge.upstreams.replace(now, upstreams, reading);
-            changed |= knowledge.evacuated.replace(now, evacuated, reading);
+            let mut cluster = self.state.cluster();
+            cluster.instances.relist(now, &instances, reading);
+            changed |= cluster.upstreams.replace(now, upstreams, reading);
+            changed |= cluster.evacuated_zones.replace(now, evacuated, reading);
         }
         if changed {
             self.state.rebuild_upstreams();
         }
-        let is_listed = || instances.contains(&self.state.me.incarnation);
+        let is_listed = || instances.contains(&self.state.own_entry.incarnation);
         if !is_first && (reading == Reading::Restored || !is_listed()) {
-            self.state.entry_gone.give();
+            self.state.own_entry_removed.notify();
         }
         log::info!(revision:%; "store read whole");
     }
 
     fn apply(&self, items: Vec<StoreItem>, revision: StoreRevision) {
         let items = self.keep_deployment(items, revision, false);
-        let items = self.state.knowledge().mirror.apply(items, revision);
+        let items = self.state.cluster().mirror.apply(items, revision);
         let now = self.state.now();
         let mut changed = false;
         let mut lines = self.upstream_lines(items.len());
@@ -204,28 +204,28 @@
             match change {
                 Change::Put(Record::Upstream(entry)) => {
                     lines.written(&entry, revision);
-                    changed |= self.state.knowledge().upstreams.put(now, entry);
+                    changed |= self.state.cluster().upstreams.put(now, entry);
                 }
                 Change::Put(Record::EvacuatedZone(zone)) => {
                     log::info!(zone:% = zone, revision:%; "zone evacuated: nothing new goes to its upstreams");
-                    changed |= self.state.knowledge().evacuated.evacuate(zone);
+                    changed |= self.state.cluster().evacuated_zones.evacuate(zone);
                 }
                 Change::ZoneTakenBack(zone) => {
                     log::info!(zone:% = zone, revision:%; "zone taken back");
-                    changed |= self.state.knowledge().evacuated.take_back(now, &zone);
+                    changed |= self.state.cluster().evacuated_zones.take_back(now, &zone);
                 }
                 Change::Put(record) => self.take_record(record, &item),
                 Change::UpstreamGone(id) => {
                     lines.removed(&id, revision);
-                    changed |= self.state.knowledge().upstreams.remove(now, &id);
+                    changed |= self.state.cluster().upstreams.remove(now, &id);
                 }
                 Change::UpstreamUnreadable { id, reason } => {
                     changed |= self.leave_out(&id, &reason, item.revision);
                 }
-                Change::InstanceGone(id) if id == self.state.me.incarnation => {
-                    self.state.entry_gone.give();
+                Change::InstanceGone(id) if id == self.state.own_entry.incarnation => {
+                    self.state.own_entry_removed.notify();
                 }
-                Change::InstanceGone(id) => self.state.knowledge().instances.unlist(id),
+                Change::InstanceGone(id) => self.state.cluster().instances.unlist(id),
                 Change::QuarantineGone(content) => self.state.quarantine.note_stored(content, None),
             }
         }
@@ -255,7 +255,7 @@
             written:%;
             "entry names no upstream; its own writer has to write it again"
         );
-        self.state.knowledge().upstreams.leave_out(id)
+        self.state.cluster().upstreams.leave_out(id)
     }
 
     /// The items with the configuration in force here in the place of an older one, and of
@@ -269,7 +269,7 @@
         revision: StoreRevision,
         whole: bool,
     ) -> Vec<StoreItem> {
-        let Some(known) = self.state.knowledge().deployment.clone() else {
+        let Some(known) = self.state.cluster().deployment.clone() else {
             return items;
         };
         let mut is_missing = whole;
@@ -320,22 +320,22 @@
     fn take_record(&self, record: Record, item: &StoreItem) {
         match record {
             Record::Deployment(deployment) => self.take_newer_deployment(*deployment, item),
-            Record::Instance(entry) if entry.incarnation == self.state.me.incarnation => {}
-            Record::Instance(entry) if entry.peers == self.state.me.peers => {
-                let mut knowledge = self.state.knowledge();
-                knowledge.earlier_starts.push(entry.incarnation);
+            Record::Instance(entry) if entry.incarnation == self.state.own_entry.incarnation => {}
+            Record::Instance(entry) if entry.peers == self.state.own_entry.peers => {
+                let mut cluster = self.state.cluster();
+                cluster.previous_incarnations.push(entry.incarnation);
             }
             Record::Instance(entry) => {
                 let now = self.state.now();
-                let mut knowledge = self.state.knowledge();
-                knowledge.instances.put(now, entry, item.revision);
+                let mut cluster = self.state.cluster();
+                cluster.instances.put(now, entry, item.revision);
             }
             Record::Upstream(entry) => {
                 let now = self.state.now();
-                self.state.knowledge().upstreams.put(now, entry);
+                self.state.cluster().upstreams.put(now, entry);
             }
             Record::EvacuatedZone(zone) => {
-                self.state.knowledge().evacuated.evacuate(zone);
+                self.state.cluster().evacuated_zones.evacuate(zone);
             }
             Record::Quarantine(record) => self.take_quarantine(record),
             Record::Unreadable { key, reason } => {
@@ -349,8 +349,8 @@
     /// one that was written later is.
     fn take_newer_deployment(&self, deployment: Deployment, item: &StoreItem) {
         let version = deployment.version;
-        let mut knowledge = self.state.knowledge();
-        let is_newer = match &knowledge.deployment {
+        let mut cluster = self.state.cluster();
+        let is_newer = match &cluster.deployment {
             None => true,
             Some(known) if version == known.version => {
                 let later = item.revision > known.item.revision;
@@ -362,12 +362,12 @@
             return;
         }
         let item = item.clone();
-        knowledge.deployment = Some(KnownDeployment { version, item });
-        knowledge.ahead = None;
+        cluster.deployment = Some(ActiveDeployment { version, item });
+        cluster.newer_peer = None;
         let router = Router::new(deployment);
         self.state.router.store(Some(Arc::new(router)));
-        drop(knowledge);
-        self.state.divide_upstreams();
+        drop(cluster);
+        self.state.rebuild_shards();
         log::info!(version; "configuration in force");
     }
 }
--- a/crates/gateway/src/store_lease.rs
+++ b/crates/gateway/src/store_lease.rs
@@ -41,7 +41,7 @@
     /// others were read, so that it takes the place of those of earlier starts.
     pub(crate) async fn keep(self: Arc<Self>) {
         let state = &self.link.state;
-        state.listed.wait().await;
+        state.instances_listed.wait().await;
         let mut held = HeldEntry::default();
         loop {
             let had_lease = held.lease.is_some();
@@ -60,7 +60,7 @@
                     RETRY_PAUSE
                 }
             };
-            if state.entry_gone.wait(pause).await && !state.is_leaving() {
+            if state.own_entry_removed.wait_timeout(pause).await && !state.is_leaving() {
                 log::info!("own entry is gone; it is written again");
                 held.written = false;
             }
@@ -69,7 +69,7 @@
 
     /// Removes the entry.
     pub(crate) async fn withdraw(&self) {
-        let me = self.link.state.me.incarnation;
+        let me = self.link.state.own_entry.incarnation;
         let withdrawing = self.link.store.withdraw(me);
         let ended = self
             .link
@@ -92,7 +92,7 @@
                 continue;
             }
             let now = state.now();
-            let silent: Vec<SilentInstance> = state.knowledge().instances.silent(now);
+            let silent: Vec<SilentInstance> = state.cluster().instances.silent(now);
             for one in silent {
                 if fastrand::u32(..100) < REMOVE_PERCENT {
                     self.remove(one).await;
@@ -109,8 +109,8 @@
         let silent_ms = since.as_millis() as u64;
         log::info!(instance:% = id, silent_ms, outcome; "silent instance removed");
         let now = self.link.state.now();
-        let mut knowledge = self.link.state.knowledge();
-        knowledge.instances.removal_tried(now, id);
+        let mut cluster = self.link.state.cluster();
+        cluster.instances.removal_tried(now, id);
     }
 
     /// Takes or renews the lease, and writes the entry if it is not there.
@@ -129,8 +129,8 @@
                 *held.lease.insert(taken.await?)
             }
         };
-        let earlier = std::mem::take(&mut state.knowledge().earlier_starts);
-        let announcing = store.announce(&state.me, lease, &earlier);
+        let earlier = std::mem::take(&mut state.cluster().previous_incarnations);
+        let announcing = store.announce(&state.own_entry, lease, &earlier);
         let written = self.link.call(StoreCall::Announce, CALL_WITHIN, announcing);
         written.await?;
         held.written = true;
--- a/crates/gateway/src/store_link.rs
+++ b/crates/gateway/src/store_link.rs
@@ -76,20 +76,20 @@
     /// The store answered this instance.
     pub(crate) fn succeeded(&self) {
         let now = self.state.now();
-        let me = self.state.me.incarnation;
-        let mut knowledge = self.state.knowledge();
-        knowledge.note_source(now, me, SourceState::Able);
-        drop(knowledge);
+        let me = self.state.own_entry.incarnation;
+        let mut cluster = self.state.cluster();
+        cluster.record_source_state(now, me, SourceState::Able);
+        drop(cluster);
         self.back();
     }
 
     /// The store answers, this instance or the one that it follows.
     pub(crate) fn back(&self) {
         let now = self.state.now();
-        let back = self.state.knowledge().upstreams.store_back(now);
+        let back = self.state.cluster().upstreams.store_back(now);
         if back {
-            self.state.store_back.give();
-            self.state.news.notify(usize::MAX);
+            self.state.store_recovered.notify();
+            self.state.changes.notify(usize::MAX);
             log::info!("store answers again");
         }
     }
@@ -98,10 +98,10 @@
     pub(crate) fn failed(&self, kind: StoreCall, e: StoreError) {
         log::warn!(call = kind.as_str(), error:% = e; "store call failed");
         let now = self.state.now();
-        let me = self.state.me.incarnation;
-        let mut knowledge = self.state.knowledge();
-        knowledge.note_source(now, me, SourceState::StoreAway);
-        drop(knowledge);
+        let me = self.state.own_entry.incarnation;
+        let mut cluster = self.state.cluster();
+        cluster.record_source_state(now, me, SourceState::StoreAway);
+        drop(cluster);
         // The store may turn just this instance away while another hears it.
         if self.state.news_source() == NewsSource::Store {
             self.away();
@@ -110,14 +110,14 @@
 
     /// Nobody from whom this instance could hear has the store.
     pub(crate) fn away(&self) {
-        let mut knowledge = self.state.knowledge();
-        if knowledge.upstreams.is_store_away() {
+        let mut cluster = self.state.cluster();
+        if cluster.upstreams.is_store_away() {
             return;
         }
-        knowledge.upstreams.store_away();
-        drop(knowledge);
+        cluster.upstreams.store_away();
+        drop(cluster);
         log::warn!("store away; what is known stays in use");
-        self.state.proof_wanted.give();
-        self.state.news.notify(usize::MAX);
+        self.state.proof_requested.notify();
+        self.state.changes.notify(usize::MAX);
     }
 }
--- a/crates/gateway/src/store_proof.rs
+++ b/crates/gateway/src/store_proof.rs
@@ -41,7 +41,7 @@
             let follows = state.news_source() != NewsSource::Store;
             // Proof of nothing is worth nothing: of a fleet that starts at once all
             // would ask several times a second beside reading.
-            if follows || !state.has_read() {
+            if follows || !state.has_read_store() {
                 failures = 0;
                 continue;
             }
@@ -49,15 +49,15 @@
             let asking = store.revision();
             let patience = patience(failures);
             match self.link.call(StoreCall::Confirm, patience, asking).await {
-                Ok(revision) if revision.era < state.knowledge().mirror.revision().era => {
+                Ok(revision) if revision.era < state.cluster().mirror.revision().era => {
                     failures = failures.saturating_add(1);
                     self.link.failed(StoreCall::Confirm, StoreError::OtherEra);
                 }
                 Ok(revision) => {
                     failures = 0;
                     self.link.succeeded();
-                    state.knowledge().freshness.confirmed(asked, revision);
-                    state.news.notify(usize::MAX);
+                    state.cluster().freshness.confirmed(asked, revision);
+                    state.changes.notify(usize::MAX);
                 }
                 Err(e) => {
                     failures = failures.saturating_add(1);
@@ -75,7 +75,7 @@
         let due = due.mul_f64(0.85 + 0.3 * fastrand::f64());
         let mut wait = due;
         loop {
-            let lost = state.proof_wanted.wait(wait).await;
+            let lost = state.proof_requested.wait_timeout(wait).await;
             match state.proof_age() {
                 Some(age) if !lost && age < due => wait = due - age,
                 _ => return,
--- a/crates/gateway/src/store_reader.rs
+++ b/crates/gateway/src/store_reader.rs
@@ -45,7 +45,7 @@
         if !taken {
             return Err(StoreError::OtherEra);
         }
-        state.knowledge().freshness.confirmed(asked, revision);
+        state.cluster().freshness.confirmed(asked, revision);
         Ok(())
     }
 
@@ -62,7 +62,7 @@
         &self,
         patience: Duration,
     ) -> Result<Vec<InstanceEntry>, StoreError> {
-        let bits = self.link.state.me.incarnation.get() >> 60;
+        let bits = self.link.state.own_entry.incarnation.get() >> 60;
         let sample = Listed::Sample(u8::try_from(bits).unwrap_or(0));
         let page = self.read_page(sample, "", patience).await?;
         Ok(self.intake.sampled(&page.items))
--- a/crates/gateway/src/stream_call.rs
+++ b/crates/gateway/src/streaming_call.rs
@@ -14,20 +14,20 @@
 use jd_types::RefusalKind;
 use jd_types::RunState;
 
-use crate::attempt::Answer;
-use crate::attempt::Failure;
-use crate::call::Call;
+use crate::attempt::AttemptFailure;
+use crate::attempt::UpstreamResponse;
+use crate::caller_api::may_have_run;
+use crate::caller_request::CallerRequest;
 use crate::event_stream::EventStream;
-use crate::front::may_have_run;
 use crate::signal::Signal;
 use crate::stage_runner::StageResults;
 use crate::stage_runner::StageRunner;
 use crate::state::State;
-use crate::upstream_choice::Missed;
-use crate::upstream_choice::Offers;
-use crate::upstream_choice::next_wanted;
-use crate::upstream_choice::reserve;
-use crate::upstream_choice::send_to_next;
+use crate::upstream_selection::NextSendError;
+use crate::upstream_selection::RetryState;
+use crate::upstream_selection::backoff_retry_after;
+use crate::upstream_selection::reserve_upstream;
+use crate::upstream_selection::send_to_next_upstream;
 
 /// Upstreams that one request is offered to, those that proved that they did
 /// nothing included.
@@ -44,48 +44,49 @@
 pub(crate) async fn run(
     state: &Arc<State>,
     stages: &Arc<StageRunner>,
-    call: Call,
+    request: CallerRequest,
 ) -> Result<Response<Body>, Refusal> {
-    let mut offers = Offers::new(FULL_PAUSE);
-    if call.has_stages() {
-        reserve(state, &call, &mut offers).await?;
+    let mut retries = RetryState::new(FULL_PAUSE);
+    if request.has_stages() {
+        reserve_upstream(state, &request, &mut retries).await?;
     }
-    let mut results = stages.run(&call).await?;
+    let mut results = stages.run(&request).await?;
     let mut stages_repeated = false;
-    state.first_send(&call.service);
+    state.record_first_send(&request.service);
     loop {
-        let last = call.head.last_event;
+        let last = request.head.last_event;
         let written = Signal::new();
         let handles = results.handles();
-        let patience = |runs| patience(&call, state, runs);
-        let note = || written.give();
-        let sending = send_to_next(state, &call, &mut offers, handles, last, patience, note);
-        let sent = sending.or(results.free_when_read(&written)).await;
+        let patience = |runs| patience(&request, state, runs);
+        let note = || written.notify();
+        let sending =
+            send_to_next_upstream(state, &request, &mut retries, handles, last, patience, note);
+        let sent = sending.or(results.release_when_read(&written)).await;
         let failure = match sent {
             Ok(answer) => {
-                offers.runs += 1;
-                return begin(state, stages, call, answer, results, offers).await;
+                retries.possible_runs += 1;
+                return begin(state, stages, request, answer, results, retries).await;
             }
-            Err(Missed::Refused(refusal)) => return Err(refusal),
-            Err(Missed::Failed(failure)) => failure,
+            Err(NextSendError::Refused(refusal)) => return Err(refusal),
+            Err(NextSendError::Failed(failure)) => failure,
         };
         let proved = failure.outcome.run_state() == RunState::NotRun;
-        offers.runs += u32::from(!proved);
-        let runs = offers.runs;
+        retries.possible_runs += u32::from(!proved);
+        let runs = retries.possible_runs;
         if failure.inputs_gone && !stages_repeated {
             stages_repeated = true;
-            offers.tried.pop();
-            let again = stages.run(&call).await;
+            retries.tried.pop();
+            let again = stages.run(&request).await;
             results = again.map_err(|refusal| after_runs(runs, refusal))?;
             continue;
         }
-        let allowed = match call.route().repeat {
-            _ if proved => offers.tried.len() < MAX_OFFERS,
-            Repeat::Resumable => runs < call.route().max_attempts,
+        let allowed = match request.route().repeat {
+            _ if proved => retries.tried.len() < MAX_OFFERS,
+            Repeat::Resumable => runs < request.route().max_attempts,
             _ => false,
         };
-        if !allowed || !state.may_repeat(&call.service) {
-            return Err(no_more(state, &call, runs, &failure));
+        if !allowed || !state.may_retry(&request.service) {
+            return Err(no_more(state, &request, runs, &failure));
         }
     }
 }
@@ -93,35 +94,35 @@
 async fn begin(
     state: &Arc<State>,
     stages: &Arc<StageRunner>,
-    call: Call,
-    answer: Answer,
+    request: CallerRequest,
+    answer: UpstreamResponse,
     results: StageResults,
-    offers: Offers,
+    retries: RetryState,
 ) -> Result<Response<Body>, Refusal> {
     let headers = state.dialect.caller_headers(&answer.response.headers);
     let status = answer.head.status;
-    let took = state.now().since(call.arrived);
+    let took = state.now().since(request.arrived);
     log::info!(
-        request = call.id(),
-            content:% = call.content,
-        route = call.route().name.as_str(),
-        upstream = answer.open.id(),
+        request = request.id(),
+            content:% = request.content,
+        route = request.route().name.as_str(),
+        upstream = answer.attempt.id(),
         status = status.as_u16(),
-        config = call.router.version,
-        attempts = offers.tried.len(),
-        sent_ms = answer.open.sent_ms(&call),
+        config = request.router.version,
+        attempts = retries.tried.len(),
+        sent_ms = answer.attempt.sent_ms(&request),
         ms = took.as_millis() as u64;
         "answer began"
     );
     let body = match status.is_success() {
         true => {
             state.metrics.request("answered", took);
-            let events = EventStream::new(state, stages, call, answer, results, offers);
+            let events = EventStream::new(state, stages, request, answer, results, retries);
             jd_net::stream(unfold(events, EventStream::next))
         }
         false => {
             state.metrics.request("failed", took);
-            failure_body(state, &call, answer).await?
+            failure_body(state, &request, answer).await?
         }
     };
     let mut res = Response::new(body);
@@ -130,14 +131,18 @@
     Ok(res)
 }
 
-async fn failure_body(state: &State, call: &Call, answer: Answer) -> Result<Body, Refusal> {
-    let mut open = answer.open;
-    let left = call.left(state.now());
+async fn failure_body(
+    state: &State,
+    request: &CallerRequest,
+    answer: UpstreamResponse,
+) -> Result<Body, Refusal> {
+    let mut attempt = answer.attempt;
+    let left = request.time_left(state.now());
     let read = within(left, answer.response.whole(MAX_FAILURE)).await;
     if let Some(Ok(_)) = &read {
-        open.ran();
+        attempt.mark_completed();
     }
-    open.end(AttemptOutcome::Failed);
+    attempt.finish(AttemptOutcome::Failed);
     match read {
         Some(Ok(body)) => Ok(jd_net::full(body)),
         _ => {
@@ -155,20 +160,21 @@
     }
 }
 
-fn patience(call: &Call, state: &State, runs: u32) -> Duration {
-    let left = call.left(state.now());
-    let repeats = call.route().repeat == Repeat::Resumable && runs + 1 < call.route().max_attempts;
+fn patience(request: &CallerRequest, state: &State, runs: u32) -> Duration {
+    let left = request.time_left(state.now());
+    let repeats =
+        request.route().repeat == Repeat::Resumable && runs + 1 < request.route().max_attempts;
     match repeats {
         true => left.min(BEGIN_WITHIN),
         false => left,
     }
 }
 
-fn no_more(state: &State, call: &Call, runs: u32, failure: &Failure) -> Refusal {
+fn no_more(state: &State, request: &CallerRequest, runs: u32, failure: &AttemptFailure) -> Refusal {
     let detail = failure.detail.as_str();
     match (runs, failure.outcome) {
         (0, _) => {
-            let wait = next_wanted(state, &call.service);
+            let wait = backoff_retry_after(state, &request.service);
             Refusal::not_run(RefusalKind::Overloaded, detail).after(wait.unwrap_or(FULL_PAUSE))
         }
         (_, AttemptOutcome::Silent | AttemptOutcome::TimedOut) => {
--- a/crates/gateway/src/plain_call.rs
+++ b/crates/gateway/src/unary_call.rs
@@ -18,15 +18,15 @@
 use jd_types::RefusalKind;
 use jd_types::RunState;
 
-use crate::attempt::Answer;
-use crate::attempt::Failure;
-use crate::call::Call;
-use crate::front::may_have_run;
+use crate::attempt::AttemptFailure;
+use crate::attempt::UpstreamResponse;
+use crate::caller_api::may_have_run;
+use crate::caller_request::CallerRequest;
 use crate::state::State;
-use crate::upstream_choice::Missed;
-use crate::upstream_choice::Offers;
-use crate::upstream_choice::next_wanted;
-use crate::upstream_choice::send_to_next;
+use crate::upstream_selection::NextSendError;
+use crate::upstream_selection::RetryState;
+use crate::upstream_selection::backoff_retry_after;
+use crate::upstream_selection::send_to_next_upstream;
 
 /// The largest answer that is held in memory, in bytes.
 const MAX_ANSWER: usize = 8 << 20;
@@ -37,33 +37,39 @@
 const FULL_PAUSE: Duration = Duration::from_millis(60);
 
 /// Runs a request with one answer.
-pub(crate) async fn run(state: &Arc<State>, call: Call) -> Result<Response<Body>, Refusal> {
-    let mut offers = Offers::new(FULL_PAUSE);
+pub(crate) async fn run(
+    state: &Arc<State>,
+    request: CallerRequest,
+) -> Result<Response<Body>, Refusal> {
+    let mut retries = RetryState::new(FULL_PAUSE);
     // An upstream's own failure, in case nothing better comes.
     let mut failed: Option<Whole> = None;
-    state.first_send(&call.service);
+    state.record_first_send(&request.service);
     loop {
-        let patience = |runs| patience(&call, state.now(), runs);
-        let sending = send_to_next(state, &call, &mut offers, &[], None, patience, || {});
+        let patience = |runs| patience(&request, state.now(), runs);
+        let sending =
+            send_to_next_upstream(state, &request, &mut retries, &[], None, patience, || {});
         let sent = match (sending.await, failed.take()) {
             (Ok(answer), kept) => {
                 failed = kept;
                 Ok(answer)
             }
-            (Err(Missed::Failed(failure)), kept) => {
+            (Err(NextSendError::Failed(failure)), kept) => {
                 failed = kept;
                 Err(failure)
             }
-            (Err(Missed::Refused(_)), Some(whole)) => return Ok(pass_on(state, &call, whole)),
-            (Err(Missed::Refused(refusal)), None) => return Err(refusal),
+            (Err(NextSendError::Refused(_)), Some(whole)) => {
+                return Ok(pass_on(state, &request, whole));
+            }
+            (Err(NextSendError::Refused(refusal)), None) => return Err(refusal),
         };
         let ended = match sent {
-            Ok(answer) => read_whole(state, &call, answer).await,
+            Ok(answer) => read_whole(state, &request, answer).await,
             Err(failure) => Err(failure),
         };
         let failure = match ended {
             Ok(whole) if !whole.status.is_server_error() => {
-                return Ok(pass_on(state, &call, whole));
+                return Ok(pass_on(state, &request, whole));
             }
             Ok(whole) => {
                 failed = Some(whole);
@@ -74,22 +80,28 @@
         let proved = failure
             .as_ref()
             .is_some_and(|f| f.outcome.run_state() == RunState::NotRun);
-        offers.runs += u32::from(!proved);
-        let runs = offers.runs;
-        let allowed = match call.route().repeat {
-            _ if proved => offers.tried.len() < MAX_OFFERS,
-            Repeat::Idempotent => runs < call.route().max_attempts,
+        retries.possible_runs += u32::from(!proved);
+        let runs = retries.possible_runs;
+        let allowed = match request.route().repeat {
+            _ if proved => retries.tried.len() < MAX_OFFERS,
+            Repeat::Idempotent => runs < request.route().max_attempts,
             _ => false,
         };
-        if allowed && state.may_repeat(&call.service) {
+        if allowed && state.may_retry(&request.service) {
             continue;
         }
         return match (failed, failure) {
-            (Some(whole), _) => Ok(pass_on(state, &call, whole)),
-            (None, Some(f)) => Err(no_more(state, &call, runs, kind_of(&f), f.detail.as_str())),
+            (Some(whole), _) => Ok(pass_on(state, &request, whole)),
+            (None, Some(f)) => Err(no_more(
+                state,
+                &request,
+                runs,
+                kind_of(&f),
+                f.detail.as_str(),
+            )),
             (None, None) => {
                 let kind = RefusalKind::UpstreamFailed;
-                Err(no_more(state, &call, runs, kind, "no answer"))
+                Err(no_more(state, &request, runs, kind, "no answer"))
             }
         };
     }
@@ -108,42 +120,46 @@
 
 /// Reads the answer whole before a byte of it is passed on, so that one that is
 /// cut off can be tried again or become an honest failure.
-async fn read_whole(state: &State, call: &Call, answer: Answer) -> Result<Whole, Failure> {
-    let Answer {
+async fn read_whole(
+    state: &State,
+    request: &CallerRequest,
+    answer: UpstreamResponse,
+) -> Result<Whole, AttemptFailure> {
+    let UpstreamResponse {
         head,
         response,
-        mut open,
+        mut attempt,
     } = answer;
     let headers = state.dialect.caller_headers(&response.headers);
-    let left = call.left(state.now());
+    let left = request.time_left(state.now());
     let over = async {
-        open.until_over().await;
+        attempt.until_restarted().await;
         Some(Err(SendError::Broken))
     };
     let read = within(left, response.whole(MAX_ANSWER)).or(over).await;
     let (outcome, detail) = match read {
         Some(Ok(body)) => {
-            open.ran();
-            open.end(match head.status.is_server_error() {
+            attempt.mark_completed();
+            attempt.finish(match head.status.is_server_error() {
                 true => AttemptOutcome::Failed,
                 false => AttemptOutcome::Answered,
             });
             return Ok(Whole {
-                upstream: open.id().into(),
-                sent_ms: open.sent_ms(call),
+                upstream: attempt.id().into(),
+                sent_ms: attempt.sent_ms(request),
                 status: head.status,
                 headers,
                 body,
             });
         }
         Some(Err(_)) => {
-            open.broke();
+            attempt.report_broken();
             (AttemptOutcome::Truncated, "the answer was cut off")
         }
         None => (AttemptOutcome::TimedOut, "the answer did not end in time"),
     };
-    open.end(outcome);
-    Err(Failure {
+    attempt.finish(outcome);
+    Err(AttemptFailure {
         outcome,
         detail: detail.into(),
         inputs_gone: false,
@@ -151,16 +167,16 @@
     })
 }
 
-fn pass_on(state: &State, call: &Call, whole: Whole) -> Response<Body> {
-    let took = state.now().since(call.arrived);
+fn pass_on(state: &State, request: &CallerRequest, whole: Whole) -> Response<Body> {
+    let took = state.now().since(request.arrived);
     state.metrics.request("answered", took);
     log::info!(
-        request = call.id(),
-            content:% = call.content,
-        route = call.route().name.as_str(),
+        request = request.id(),
+            content:% = request.content,
+        route = request.route().name.as_str(),
         upstream = whole.upstream.as_str(),
         status = whole.status.as_u16(),
-        config = call.router.version,
+        config = request.router.version,
         sent_ms = whole.sent_ms,
         ms = took.as_millis() as u64;
         "answered"
@@ -173,16 +189,17 @@
 
 /// How long to wait for an upstream. What may run again leaves half of its time
 /// for that; what may not waits as long as its caller does.
-fn patience(call: &Call, now: jd_types::MonoTime, runs: u32) -> Duration {
-    let left = call.left(now);
-    let repeats = call.route().repeat == Repeat::Idempotent && runs + 1 < call.route().max_attempts;
+fn patience(request: &CallerRequest, now: jd_types::MonoTime, runs: u32) -> Duration {
+    let left = request.time_left(now);
+    let repeats =
+        request.route().repeat == Repeat::Idempotent && runs + 1 < request.route().max_attempts;
     match repeats {
         true => left / 2,
         false => left,
     }
 }
 
-fn kind_of(failure: &Failure) -> RefusalKind {
+fn kind_of(failure: &AttemptFailure) -> RefusalKind {
     match failure.outcome {
         AttemptOutcome::NotRun | AttemptOutcome::Unreachable => RefusalKind::Overloaded,
         AttemptOutcome::TimedOut | AttemptOutcome::Silent => RefusalKind::DeadlinePassed,
@@ -192,11 +209,17 @@
 
 /// The refusal of what will not be tried again. It says that nothing ran only
 /// if every send proved so.
-fn no_more(state: &State, call: &Call, runs: u32, kind: RefusalKind, detail: &str) -> Refusal {
+fn no_more(
+    state: &State,
+    request: &CallerRequest,
+    runs: u32,
+    kind: RefusalKind,
+    detail: &str,
+) -> Refusal {
     match (runs, kind) {
         (0, RefusalKind::DeadlinePassed) => over(0, detail),
         (0, kind) => {
-            let wait = next_wanted(state, &call.service);
+            let wait = backoff_retry_after(state, &request.service);
             Refusal::not_run(kind, detail).after(wait.unwrap_or(FULL_PAUSE))
         }
         (_, RefusalKind::DeadlinePassed) => over(runs, detail),
--- a/crates/gateway/src/notices.rs
+++ b/crates/gateway/src/upstream_backoffs.rs
@@ -23,7 +23,7 @@
 /// Which upstreams want nothing from this instance for a while, on the path of every
 /// request.
 #[derive(Debug, Default)]
-pub(crate) struct Notices {
+pub(crate) struct UpstreamBackoffs {
     /// True while any of them does: without, no request waits for the lock.
     any: AtomicBool,
     backoffs: Mutex<Backoffs>,
@@ -31,7 +31,7 @@
     unreadable: Mutex<Option<CompactString>>,
 }
 
-impl Notices {
+impl UpstreamBackoffs {
     /// How much longer an upstream wants nothing; none if it takes requests.
     pub(crate) fn backoff(
         &self,
@@ -56,7 +56,7 @@
     }
 
     fn note_unreadable(&self, upstream: &UpstreamRef, e: &RetryAfterError) {
-        let id = &upstream.upstream;
+        let id = &upstream.id;
         let mut last = lock(&self.unreadable);
         if last.as_ref() != Some(id) {
             log::warn!(upstream = id.as_str(), error:% = e; "wait that an upstream asks for cannot be read; it counts as none");
@@ -72,10 +72,7 @@
         place: FleetPlace,
     ) -> bool {
         let UpstreamRef {
-            upstream: id,
-            start,
-            address,
-            ..
+            id, start, address, ..
         } = upstream;
         let mut backoffs = lock(&self.backoffs);
         let longer = backoffs.take(now, *address, id, *start, wait, place);
@@ -85,7 +82,11 @@
 }
 
 /// Reads what an answer of an upstream says of what may be sent to it next.
-pub(crate) fn note_answer(state: &State, upstream: &UpstreamRef, response: &HttpResponse) {
+pub(crate) fn apply_response_notices(
+    state: &State,
+    upstream: &UpstreamRef,
+    response: &HttpResponse,
+) {
     let (now, dialect) = (state.now(), state.dialect.as_ref());
     let HttpResponse {
         status, headers, ..
@@ -97,21 +98,21 @@
     state
         .limits
         .note_answer(now, upstream, dialect, headers, &state.metrics);
-    if dialect.says_leaving(headers) && !upstream.upstream.is_empty() {
+    if dialect.announces_leaving(headers) && !upstream.id.is_empty() {
         note_leaving(state, upstream);
     }
     match dialect.retry_after(*status, headers) {
         Ok(None) => {}
         Ok(Some(wait)) => note_backoff(state, upstream, wait),
-        Err(e) => state.notices.note_unreadable(upstream, &e),
+        Err(e) => state.backoffs.note_unreadable(upstream, &e),
     }
 }
 
 fn note_leaving(state: &State, upstream: &UpstreamRef) {
-    let (now, id) = (state.now(), upstream.upstream.as_str());
-    let mut knowledge = state.knowledge();
-    let news = knowledge.upstreams.says_leaving(now, id, upstream.start);
-    drop(knowledge);
+    let (now, id) = (state.now(), upstream.id.as_str());
+    let mut cluster = state.cluster();
+    let news = cluster.upstreams.says_leaving(now, id, upstream.start);
+    drop(cluster);
     if !news {
         return;
     }
@@ -122,15 +123,12 @@
 
 fn note_misdirected(state: &State, upstream: &UpstreamRef) {
     let UpstreamRef {
-        upstream: id,
-        start,
-        address,
-        ..
+        id, start, address, ..
     } = upstream;
     let now = state.now();
-    let mut knowledge = state.knowledge();
-    let news = knowledge.upstreams.is_elsewhere(now, id, *start, *address);
-    drop(knowledge);
+    let mut cluster = state.cluster();
+    let news = cluster.upstreams.is_elsewhere(now, id, *start, *address);
+    drop(cluster);
     if news {
         state.rebuild_upstreams();
         state.metrics.notice("misdirected");
@@ -140,11 +138,11 @@
 
 fn note_backoff(state: &State, upstream: &UpstreamRef, wait: RetryAfter) {
     let place = state.fleet_place(upstream.address);
-    let longer = state.notices.back_off(state.now(), upstream, wait, place);
+    let longer = state.backoffs.back_off(state.now(), upstream, wait, place);
     state.metrics.notice("backoff");
     let wait_ms = u64::try_from(wait.wait().as_millis()).unwrap_or(u64::MAX);
     log::info!(
-        upstream = upstream.upstream.as_str(),
+        upstream = upstream.id.as_str(),
         service = upstream.service.as_str(),
         wait_ms,
         longer;
--- a/crates/gateway/src/send_gate.rs
+++ b/crates/gateway/src/upstream_client.rs
@@ -18,9 +18,9 @@
 use jd_serving::Content;
 use jd_types::MonoTime;
 
-use crate::notices::note_answer;
 use crate::run_events::UpstreamRef;
 use crate::state::State;
+use crate::upstream_backoffs::apply_response_notices;
 
 /// How long a permit for an upstream that names a limit lasts. Used later, it would
 /// arrive together with those that were given out meanwhile.
@@ -30,7 +30,7 @@
 
 /// What is sent to an upstream.
 #[derive(Debug, Clone)]
-pub(crate) enum Purpose {
+pub(crate) enum SendPurpose {
     /// A caller's request.
     Request {
         /// What it is.
@@ -44,16 +44,16 @@
     Pieces,
     /// A question for room, or results that are given up. It goes to upstreams that leave
     /// as well.
-    Upkeep,
+    Maintenance,
 }
 
-impl Purpose {
+impl SendPurpose {
     /// How urgent it is, 0 most of all; none for what no permit is asked for.
     fn priority(&self) -> Option<u8> {
         match self {
-            Purpose::Request { priority, .. } => Some(*priority),
-            Purpose::Pieces => Some(0),
-            Purpose::Upkeep => None,
+            SendPurpose::Request { priority, .. } => Some(*priority),
+            SendPurpose::Pieces => Some(0),
+            SendPurpose::Maintenance => None,
         }
     }
 }
@@ -63,7 +63,7 @@
 #[derive(Debug)]
 pub(crate) struct SendPermit {
     to: UpstreamRef,
-    purpose: Purpose,
+    purpose: SendPurpose,
     /// When it was given out for an upstream that names a limit; none if it named none.
     limited: Option<MonoTime>,
     /// How long it lasts in that case.
@@ -77,7 +77,7 @@
     pub(crate) reason: &'static str,
     /// How long until it may be asked again, where the upstream names a limit or wants
     /// nothing for a while.
-    pub(crate) wait: Option<Duration>,
+    pub(crate) retry_after: Option<Duration>,
 }
 
 /// Why a send brought no answer.
@@ -86,23 +86,23 @@
     /// Nothing was sent, since it may not be any more.
     Withheld(Withheld),
     /// No connection could be opened.
-    NotSent,
+    ConnectFailed,
     /// The connection broke.
-    Broken,
+    ConnectionLost,
     /// Nothing came back in time.
-    Silent,
+    TimedOut,
 }
 
 /// The one way from this instance to an upstream. Nothing else holds connections to
 /// upstreams, so that what bounds a send is asked for here, whichever way it takes.
 #[derive(Debug)]
-pub(crate) struct SendGate {
+pub(crate) struct UpstreamClient {
     pool: HttpPool,
 }
 
-impl SendGate {
-    pub(crate) fn new(pool: HttpPool) -> SendGate {
-        SendGate { pool }
+impl UpstreamClient {
+    pub(crate) fn new(pool: HttpPool) -> UpstreamClient {
+        UpstreamClient { pool }
     }
 
     /// Leave to send something to an upstream.
@@ -110,9 +110,9 @@
         &self,
         state: &State,
         to: UpstreamRef,
-        purpose: Purpose,
+        purpose: SendPurpose,
     ) -> Result<SendPermit, Withheld> {
-        let notice = state.limits.of(&to.upstream);
+        let notice = state.limits.of(&to.id);
         let notice = notice.filter(|n| n.limit.is_some());
         let permit = SendPermit {
             limited: notice.map(|_| state.now()),
@@ -126,10 +126,10 @@
         };
         let asked = state.limiters.ask(state, &permit.to, notice, priority);
         if let Err(wait) = asked.await {
-            state.turns.note(state.now(), &permit.to.upstream, wait);
+            state.permit_retries.note(state.now(), &permit.to.id, wait);
             return Err(Withheld {
                 reason: "the upstream takes no more for now",
-                wait: Some(wait),
+                retry_after: Some(wait),
             });
         }
         let limited = Some(state.now());
@@ -155,7 +155,7 @@
         let may_send = || {
             // A request that a dead connection hands back is counted once.
             let checked = match counted.swap(true, Ordering::Relaxed) {
-                true => permit.check_news(state),
+                true => permit.check_without_cold(state),
                 false => permit.use_up(state),
             };
             match checked {
@@ -170,17 +170,17 @@
         match (sent, lock(&withheld).take()) {
             (_, Some(why)) => Err(SendFailure::Withheld(why)),
             (Some(Ok(response)), None) => {
-                note_answer(state, &permit.to, &response);
+                apply_response_notices(state, &permit.to, &response);
                 Ok(response)
             }
-            (Some(Err(SendError::NotSent)), None) => Err(SendFailure::NotSent),
-            (Some(Err(SendError::Broken)), None) => Err(SendFailure::Broken),
-            (None, None) => Err(SendFailure::Silent),
+            (Some(Err(SendError::NotSent)), None) => Err(SendFailure::ConnectFailed),
+            (Some(Err(SendError::Broken)), None) => Err(SendFailure::ConnectionLost),
+            (None, None) => Err(SendFailure::TimedOut),
         }
     }
 
     /// Closes idle connections to an address.
-    pub(crate) fn forget(&self, address: SocketAddr) {
+    pub(crate) fn close_idle(&self, address: SocketAddr) {
         self.pool.forget(address);
     }
 
@@ -201,52 +201,59 @@
 
     /// Whether it may be sent, by what is known now.
     fn check(&self, state: &State) -> Result<(), Withheld> {
-        self.check_news(state)?;
+        self.check_without_cold(state)?;
         match &self.purpose {
-            Purpose::Request { cold, .. } if !self.bears(state, cold) => Err(Withheld {
+            SendPurpose::Request { cold, .. } if !self.bears(state, cold) => Err(Withheld {
                 reason: "the upstream has just started and bears no more",
-                wait: None,
+                retry_after: None,
             }),
             _ => Ok(()),
         }
     }
 
     /// Whether anything was heard since the upstream was chosen that forbids it.
-    fn check_news(&self, state: &State) -> Result<(), Withheld> {
+    fn check_without_cold(&self, state: &State) -> Result<(), Withheld> {
         let now = state.now();
-        let withheld = |reason| Err(Withheld { reason, wait: None });
+        let withheld = |reason| {
+            Err(Withheld {
+                reason,
+                retry_after: None,
+            })
+        };
         let ask_anew = |reason| {
             let wait = Some(Duration::ZERO);
-            Err(Withheld { reason, wait })
+            Err(Withheld {
+                reason,
+                retry_after: wait,
+            })
         };
         let UpstreamRef {
-            upstream,
-            start,
-            address,
-            ..
+            id, start, address, ..
         } = &self.to;
-        if let Some(left) = state.notices.backoff(now, *address, upstream, *start) {
+        if let Some(left) = state.backoffs.backoff(now, *address, id, *start) {
             return Err(Withheld {
                 reason: "the upstream wants nothing for a while",
-                wait: Some(left),
+                retry_after: Some(left),
             });
         }
-        let is_limited = state.limits.limit(&self.to.upstream).is_some();
+        let is_limited = state.limits.limit(&self.to.id).is_some();
         let listed = || {
             let table = state.upstreams.load();
-            table.has(&self.to.upstream, self.to.address)
+            table.lists_at(&self.to.id, self.to.address)
         };
         match &self.purpose {
             // Room for its results is the least of its needs, and they lapse.
-            Purpose::Upkeep if is_limited => withheld("the upstream names a limit"),
-            Purpose::Upkeep => Ok(()),
-            Purpose::Request { .. } | Purpose::Pieces if !listed() => {
+            SendPurpose::Maintenance if is_limited => withheld("the upstream names a limit"),
+            SendPurpose::Maintenance => Ok(()),
+            SendPurpose::Request { .. } | SendPurpose::Pieces if !listed() => {
                 withheld("the upstream gets nothing new any more")
             }
-            Purpose::Request { content, .. } if state.quarantine.left(now, *content).is_some() => {
+            SendPurpose::Request { content, .. }
+                if state.quarantine.left(now, *content).is_some() =>
+            {
                 withheld("the request ends upstreams")
             }
-            Purpose::Request { .. } | Purpose::Pieces => match self.limited {
+            SendPurpose::Request { .. } | SendPurpose::Pieces => match self.limited {
                 _ if !is_limited => Ok(()),
                 None => ask_anew("the upstream names a limit by now"),
                 Some(at) if now.since(at) > self.lasts => ask_anew("the permit has lapsed"),
@@ -258,7 +265,7 @@
     /// Looks once more whether it may be sent, and counts it.
     fn use_up(&self, state: &State) -> Result<(), Withheld> {
         self.check(state)?;
-        if let Purpose::Request { cold, .. } = &self.purpose
+        if let SendPurpose::Request { cold, .. } = &self.purpose
             && let Some(spec) = state.cold_spec(&self.to.service)
         {
             lock(cold).sent(state.now(), spec);
--- a/crates/gateway/src/upstream_choice.rs
+++ b/crates/gateway/src/upstream_selection.rs
@@ -9,14 +9,14 @@
 use jd_types::RefusalKind;
 
 use crate::attempt;
-use crate::attempt::Answer;
-use crate::attempt::Failure;
-use crate::call::Call;
-use crate::front::may_have_run;
-use crate::send_gate::SendPermit;
+use crate::attempt::AttemptFailure;
+use crate::attempt::UpstreamResponse;
+use crate::caller_api::may_have_run;
+use crate::caller_request::CallerRequest;
 use crate::state::State;
-use crate::upstream_table::Chosen;
-use crate::upstream_table::Limited;
+use crate::upstream_client::SendPermit;
+use crate::upstream_table::LimitFilter;
+use crate::upstream_table::SelectedUpstream;
 
 /// How often a request may be withheld from the upstream that was chosen before it is
 /// refused.
@@ -38,26 +38,26 @@
 
 /// Where one attempt of a caller was sent so far.
 #[derive(Debug)]
-pub(crate) struct Offers {
+pub(crate) struct RetryState {
     /// The upstreams that it was sent to, those that did nothing included.
     pub(crate) tried: Vec<CompactString>,
     /// How many of these may have run it.
-    pub(crate) runs: u32,
+    pub(crate) possible_runs: u32,
     /// How often it was withheld from the one that was chosen.
     withheld: u32,
     /// When to come back where no upstream is left.
-    pause: Duration,
+    retry_after: Duration,
     /// Where it is sent first, if that was settled before its stages.
-    reserved: Option<(Chosen, SendPermit)>,
+    reserved: Option<(SelectedUpstream, SendPermit)>,
 }
 
-impl Offers {
-    pub(crate) fn new(pause: Duration) -> Offers {
-        Offers {
+impl RetryState {
+    pub(crate) fn new(retry_after: Duration) -> RetryState {
+        RetryState {
             tried: Vec::new(),
-            runs: 0,
+            possible_runs: 0,
             withheld: 0,
-            pause,
+            retry_after,
             reserved: None,
         }
     }
@@ -65,7 +65,7 @@
     /// The refusal of a request whose turn comes after `wait`.
     fn refuse_limited(&self, wait: Duration) -> Refusal {
         let detail = "the upstreams take no more for now";
-        match self.runs {
+        match self.possible_runs {
             0 => Refusal::not_run(RefusalKind::Limited, detail).after(wait),
             _ => may_have_run(RefusalKind::UpstreamFailed, detail),
         }
@@ -73,9 +73,9 @@
 
     /// The refusal of a request that no upstream can be sent.
     fn refuse(&self, kind: RefusalKind, detail: &'static str) -> Refusal {
-        match (self.runs, kind) {
+        match (self.possible_runs, kind) {
             (0, RefusalKind::DeadlinePassed) => Refusal::not_run(RefusalKind::WouldMiss, detail),
-            (0, kind) => Refusal::not_run(kind, detail).after(self.pause),
+            (0, kind) => Refusal::not_run(kind, detail).after(self.retry_after),
             (_, RefusalKind::DeadlinePassed) => may_have_run(kind, detail),
             _ => may_have_run(RefusalKind::UpstreamFailed, detail),
         }
@@ -84,46 +84,47 @@
 
 /// Why a request got no answer from the next upstream.
 #[derive(Debug)]
-pub(crate) enum Missed {
+pub(crate) enum NextSendError {
     /// There is no next one.
     Refused(Refusal),
     /// It was sent, and brought no answer for the caller.
-    Failed(Failure),
+    Failed(AttemptFailure),
 }
 
 /// Sends a request to the next upstream, and to another one as long as it is withheld
 /// from those that are chosen.
-pub(crate) async fn send_to_next(
+pub(crate) async fn send_to_next_upstream(
     state: &Arc<State>,
-    call: &Call,
-    offers: &mut Offers,
+    request: &CallerRequest,
+    retries: &mut RetryState,
     inputs: &[CompactString],
     last_event: Option<u64>,
     patience: impl Fn(u32) -> Duration,
     written: impl Fn(),
-) -> Result<Answer, Missed> {
+) -> Result<UpstreamResponse, NextSendError> {
     loop {
-        let permitted = match offers.reserved.take() {
+        let permitted = match retries.reserved.take() {
             Some(reserved) => reserved,
             None => {
-                let chosen = next_upstream(state, call, offers).map_err(Missed::Refused)?;
-                let Ok(permit) = attempt::permit(state, call, &chosen).await else {
-                    offers.withheld += 1;
+                let chosen =
+                    next_upstream(state, request, retries).map_err(NextSendError::Refused)?;
+                let Ok(permit) = attempt::request_permit(state, request, &chosen).await else {
+                    retries.withheld += 1;
                     continue;
                 };
                 (chosen, permit)
             }
         };
         let id = permitted.0.id.clone();
-        let patience = patience(offers.runs);
+        let patience = patience(retries.possible_runs);
         let sending = attempt::send(
-            state, call, permitted, inputs, last_event, patience, &written,
+            state, request, permitted, inputs, last_event, patience, &written,
         );
         match sending.await {
-            Err(failure) if failure.withheld => offers.withheld += 1,
+            Err(failure) if failure.withheld => retries.withheld += 1,
             result => {
-                offers.tried.push(id);
-                return result.map_err(Missed::Failed);
+                retries.tried.push(id);
+                return result.map_err(NextSendError::Failed);
             }
         }
     }
@@ -131,37 +132,44 @@
 
 /// The next upstream for a request: the one that keeps its prompt, or the next after
 /// those that were tried.
-fn next_upstream(state: &State, call: &Call, offers: &Offers) -> Result<Chosen, Refusal> {
+fn next_upstream(
+    state: &State,
+    request: &CallerRequest,
+    retries: &RetryState,
+) -> Result<SelectedUpstream, Refusal> {
     let now = state.now();
-    if call.left(now).is_zero() {
-        return Err(offers.refuse(RefusalKind::DeadlinePassed, "the deadline passed"));
+    if request.time_left(now).is_zero() {
+        return Err(retries.refuse(RefusalKind::DeadlinePassed, "the deadline passed"));
     }
-    call.check_quarantine(state, offers.runs)?;
+    request.check_quarantine(state, retries.possible_runs)?;
     let table = state.upstreams.load();
-    let mut check = state.send_check(&call.service);
-    if offers.withheld >= MAX_TURNED_AWAY {
-        check.limited = Limited::Avoided;
+    let mut check = state.selection_filter(&request.service);
+    if retries.withheld >= MAX_TURNED_AWAY {
+        check.limit_filter = LimitFilter::Unlimited;
     }
-    let tried = &offers.tried;
-    let chosen = match &call.head.prompt {
-        _ if offers.withheld >= MAX_WITHHELD => None,
+    let tried = &retries.tried;
+    let chosen = match &request.head.prompt {
+        _ if retries.withheld >= MAX_WITHHELD => None,
         Some(prompt) => {
             let instances = state.instance_count();
             let session = prompt.session();
-            table.place(&call.service, now, session, instances, tried, &check)
+            table.pick_for_session(&request.service, now, session, instances, tried, &check)
         }
-        None => table.pick(&call.service, now, &state.settings.zone, tried, &check),
+        None => table.pick_by_load(&request.service, now, &state.settings.zone, tried, &check),
+    };
+    let wait = || {
+        limit_retry_after(state, &request.service)
+            .or_else(|| backoff_retry_after(state, &request.service))
     };
-    let wait = || next_turn(state, &call.service).or_else(|| next_wanted(state, &call.service));
     chosen.ok_or_else(|| match wait() {
-        Some(wait) => offers.refuse_limited(wait),
-        None => offers.refuse(RefusalKind::NoUpstream, "no upstream is left to try"),
+        Some(wait) => retries.refuse_limited(wait),
+        None => retries.refuse(RefusalKind::NoUpstream, "no upstream is left to try"),
     })
 }
 
 /// When a caller is to come back for whom a service's upstreams take no more; none if
 /// that is not the reason.
-fn next_turn(state: &State, service: &str) -> Option<Duration> {
+fn limit_retry_after(state: &State, service: &str) -> Option<Duration> {
     if !state.limits.any() {
         return None;
     }
@@ -173,19 +181,19 @@
         let rate = state.limits.limit(&upstream.id)?;
         Some((upstream.id, rate))
     });
-    state.turns.next(state.now(), limited)
+    state.permit_retries.next(state.now(), limited)
 }
 
 /// When a caller is to come back if all upstreams of a service want nothing for a while:
 /// once the first of them takes requests again, each caller at another moment.
-pub(crate) fn next_wanted(state: &State, service: &str) -> Option<Duration> {
-    let left = soonest_end(state, service)?;
+pub(crate) fn backoff_retry_after(state: &State, service: &str) -> Option<Duration> {
+    let left = shortest_backoff(state, service)?;
     let spread = left.mul_f64(RETURN_SPREAD * fastrand::f64());
     Some(left + spread)
 }
 
 /// How long until the first upstream of a service takes requests again; none if one does.
-fn soonest_end(state: &State, service: &str) -> Option<Duration> {
+fn shortest_backoff(state: &State, service: &str) -> Option<Duration> {
     let table = state.upstreams.load();
     let mut soonest: Option<Duration> = None;
     for upstream in table.upstreams(service) {
@@ -199,16 +207,20 @@
     let StageUpstream {
         id, start, address, ..
     } = upstream;
-    state.notices.backoff(state.now(), *address, id, *start)
+    state.backoffs.backoff(state.now(), *address, id, *start)
 }
 
 /// Refuses a request at once whose stages would be done in vain, since all upstreams that
 /// could run it want nothing for longer than these take.
-fn check_wanted(state: &State, call: &Call, offers: &Offers) -> Result<(), Refusal> {
-    match soonest_end(state, &call.service) {
+fn check_backoffs(
+    state: &State,
+    request: &CallerRequest,
+    retries: &RetryState,
+) -> Result<(), Refusal> {
+    match shortest_backoff(state, &request.service) {
         Some(left) if left > STAGES_TAKE_LEAST => {
-            let wait = next_wanted(state, &call.service);
-            Err(offers.refuse_limited(wait.unwrap_or(left)))
+            let wait = backoff_retry_after(state, &request.service);
+            Err(retries.refuse_limited(wait.unwrap_or(left)))
         }
         _ => Ok(()),
     }
@@ -219,24 +231,24 @@
 ///
 /// The load that it answers: all upstreams name limits, and most requests are refused. With
 /// a permit asked for after the stages, these were done for all of them.
-pub(crate) async fn reserve(
+pub(crate) async fn reserve_upstream(
     state: &State,
-    call: &Call,
-    offers: &mut Offers,
+    request: &CallerRequest,
+    retries: &mut RetryState,
 ) -> Result<(), Refusal> {
-    check_wanted(state, call, offers)?;
+    check_backoffs(state, request, retries)?;
     while state.limits.any() {
-        let chosen = next_upstream(state, call, offers)?;
+        let chosen = next_upstream(state, request, retries)?;
         let limit = state.limits.limit(&chosen.id);
         if limit.is_none_or(|rate| rate.per_s() > RESERVED_UP_TO) {
             return Ok(());
         }
-        match attempt::permit(state, call, &chosen).await {
+        match attempt::request_permit(state, request, &chosen).await {
             Ok(permit) => {
-                offers.reserved = Some((chosen, permit.reserved()));
+                retries.reserved = Some((chosen, permit.reserved()));
                 return Ok(());
             }
-            Err(_) => offers.withheld += 1,
+            Err(_) => retries.withheld += 1,
         }
     }
     Ok(())
--- a/crates/gateway/src/upstream_table.rs
+++ b/crates/gateway/src/upstream_table.rs
@@ -30,7 +30,7 @@
 
 /// An upstream that was chosen for a request.
 #[derive(Debug, Clone)]
-pub(crate) struct Chosen {
+pub(crate) struct SelectedUpstream {
     /// Its identity.
     pub(crate) id: CompactString,
     /// Which start of it.
@@ -38,17 +38,17 @@
     /// What this instance knows of it.
     pub(crate) upstream: Arc<Upstream>,
     /// Set once it is known to have started again since.
-    pub(crate) started_again: Arc<Latch>,
+    pub(crate) restarted: Arc<Latch>,
     /// Whether it has just started, and what was sent there since.
     pub(crate) cold: Arc<Mutex<ColdStart>>,
 }
 
-impl Chosen {
+impl SelectedUpstream {
     /// This start of it, as an upstream of a service.
-    pub(crate) fn of_service(&self, service: &CompactString) -> UpstreamRef {
+    pub(crate) fn upstream_ref(&self, service: &CompactString) -> UpstreamRef {
         UpstreamRef {
             service: service.clone(),
-            upstream: self.id.clone(),
+            id: self.id.clone(),
             start: self.start,
             address: self.upstream.address,
         }
@@ -57,26 +57,26 @@
 
 /// Which of the upstreams that name a limit may be chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Limited {
+pub(crate) enum LimitFilter {
     /// All.
     Any,
     /// Those for which a permit may be asked for now.
-    Asked,
+    PermitDue,
     /// None.
-    Avoided,
+    Unlimited,
 }
 
 /// What a choice asks of an upstream before it is sent anything.
-pub(crate) struct SendCheck<'a> {
+pub(crate) struct SelectionFilter<'a> {
     /// What those bear that have just started; none where that is not bounded.
     pub(crate) cold: Option<ColdSpec>,
     /// Which of those may be chosen that name a limit.
-    pub(crate) limited: Limited,
+    pub(crate) limit_filter: LimitFilter,
     /// Tells this instance's place among all.
     pub(crate) state: &'a State,
 }
 
-impl SendCheck<'_> {
+impl SelectionFilter<'_> {
     /// True if this instance may send to the upstream now.
     fn allows(&self, now: MonoTime, id: &str, known: &Known) -> bool {
         self.wants_requests(now, id, known)
@@ -86,16 +86,16 @@
 
     fn wants_requests(&self, now: MonoTime, id: &str, known: &Known) -> bool {
         let (address, start) = (known.upstream.address, known.start);
-        let backoff = self.state.notices.backoff(now, address, id, start);
+        let backoff = self.state.backoffs.backoff(now, address, id, start);
         backoff.is_none()
     }
 
     fn limit_allows(&self, now: MonoTime, id: &str) -> bool {
         let names_limit = || self.state.limits.limit(id).is_some();
-        match self.limited {
-            Limited::Any => true,
-            Limited::Asked => !names_limit() || self.state.turns.may_ask(now, id),
-            Limited::Avoided => !names_limit(),
+        match self.limit_filter {
+            LimitFilter::Any => true,
+            LimitFilter::PermitDue => !names_limit() || self.state.permit_retries.may_ask(now, id),
+            LimitFilter::Unlimited => !names_limit(),
         }
     }
 
@@ -126,7 +126,7 @@
 struct Known {
     start: UpstreamStart,
     upstream: Arc<Upstream>,
-    started_again: Arc<Latch>,
+    restarted: Arc<Latch>,
     /// It stands in a zone that is evacuated: it is there, and gets nothing new.
     evacuated: bool,
     cold: Arc<Mutex<ColdStart>>,
@@ -144,7 +144,7 @@
             start: entry.start,
             cold: Arc::new(Mutex::new(cold)),
             upstream: Arc::new(Upstream::new(entry.address, entry.zone.clone(), since)),
-            started_again: Arc::default(),
+            restarted: Arc::default(),
             evacuated: false,
         }
     }
@@ -172,7 +172,7 @@
     /// The table of `entries` for an instance in `zone`. Upstreams that leave
     /// are not in it: nothing new may reach them. Those of an evacuated zone are
     /// known and are not chosen.
-    pub(crate) fn next<'a>(
+    pub(crate) fn rebuilt<'a>(
         &self,
         now: MonoTime,
         entries: impl Iterator<Item = ListedUpstream<'a>>,
@@ -222,13 +222,13 @@
 
     /// The addresses of upstreams that have started again since an earlier table.
     /// Tells those that wait for an answer of the earlier start.
-    pub(crate) fn note_restarts(&self, earlier: &UpstreamTable) -> Vec<SocketAddr> {
+    pub(crate) fn notify_restarts(&self, earlier: &UpstreamTable) -> Vec<SocketAddr> {
         let mut addresses = Vec::new();
         for (id, before) in &earlier.by_id {
             let now = self.by_id.get(id);
             if now.is_some_and(|now| !Arc::ptr_eq(&now.upstream, &before.upstream)) {
                 log::info!(upstream:% = id, address:% = before.upstream.address; "upstream started again");
-                before.started_again.set();
+                before.restarted.set();
                 addresses.push(before.upstream.address);
             }
         }
@@ -256,7 +256,7 @@
     }
 
     /// True if the upstream may still get new work at this address.
-    pub(crate) fn has(&self, id: &str, address: SocketAddr) -> bool {
+    pub(crate) fn lists_at(&self, id: &str, address: SocketAddr) -> bool {
         let known = self.by_id.get(id);
         known.is_some_and(|k| k.upstream.address == address && !k.evacuated)
     }
@@ -272,7 +272,7 @@
     }
 
     /// The upstream that answers at an address; none if no entry names one.
-    pub(crate) fn at(&self, address: SocketAddr) -> Option<UpstreamRef> {
+    pub(crate) fn by_address(&self, address: SocketAddr) -> Option<UpstreamRef> {
         self.services.iter().find_map(|(service, table)| {
             let upstreams = table.pool.upstreams().iter();
             let found = upstreams.zip(&table.ids).zip(&table.known);
@@ -280,7 +280,7 @@
             let ((_, id), known) = found.next()?;
             Some(UpstreamRef {
                 service: service.clone(),
-                upstream: id.clone(),
+                id: id.clone(),
                 start: known.start,
                 address,
             })
@@ -288,20 +288,20 @@
     }
 
     /// True if an upstream of the service answers at this address.
-    pub(crate) fn is_at(&self, service: &str, address: SocketAddr) -> bool {
+    pub(crate) fn serves_at(&self, service: &str, address: SocketAddr) -> bool {
         let table = self.services.get(service);
         table.is_some_and(|t| t.pool.upstreams().iter().any(|u| u.address == address))
     }
 
     /// Chooses an upstream by load, near ones first.
-    pub(crate) fn pick(
+    pub(crate) fn pick_by_load(
         &self,
         service: &str,
         now: MonoTime,
         zone: &Name,
         tried: &[CompactString],
-        check: &SendCheck<'_>,
-    ) -> Option<Chosen> {
+        check: &SelectionFilter<'_>,
+    ) -> Option<SelectedUpstream> {
         let table = self.services.get(service)?;
         let mut exclude = table.keys_of(tried);
         exclude.extend(table.keys(|id, known| !check.allows(now, id, known)));
@@ -317,15 +317,15 @@
     }
 
     /// Chooses the upstream that keeps the session's prompt.
-    pub(crate) fn place(
+    pub(crate) fn pick_for_session(
         &self,
         service: &str,
         now: MonoTime,
         session: u64,
         instances: u32,
         tried: &[CompactString],
-        check: &SendCheck<'_>,
-    ) -> Option<Chosen> {
+        check: &SelectionFilter<'_>,
+    ) -> Option<SelectedUpstream> {
         let table = self.services.get(service)?;
         let views = table.views(now, &table.keys_of(tried));
         let order = place_prompt(session, &views, table.slots, instances);
@@ -337,13 +337,13 @@
 }
 
 impl ServiceTable {
-    fn chosen(&self, key: UpstreamKey) -> Chosen {
+    fn chosen(&self, key: UpstreamKey) -> SelectedUpstream {
         let known = self.known[key.index()].clone();
-        Chosen {
+        SelectedUpstream {
             id: self.ids[key.index()].clone(),
             start: known.start,
             upstream: known.upstream,
-            started_again: known.started_again,
+            restarted: known.restarted,
             cold: known.cold,
         }
     }
--- a/crates/gateway/tests/restored/restored_store.rs
+++ b/crates/gateway/tests/restored/restored_store.rs
@@ -26,7 +26,7 @@
 
 /// A fleet of so many instances before two upstreams.
 fn fleet(instances: usize) -> Harness {
-    let replies = vec![vec![Reply::Whole("a")], vec![Reply::Whole("b")]];
+    let replies = vec![vec![Reply::Complete("a")], vec![Reply::Complete("b")]];
     let mut harness = Harness::start(replies);
     harness.add_gateways(instances - 1);
     harness
@@ -169,7 +169,7 @@
     let zone = Name::try_from("b").expect("a name");
     block_on(async {
         harness.until_ready(true).await;
-        harness.place_in_zone(0, "b");
+        harness.set_zone(0, "b");
         until_seen(&harness, 1).await;
         let kept = harness.store.len();
         harness
--- a/crates/gateway/tests/whole/backoffs.rs
+++ b/crates/gateway/tests/whole/backoffs.rs
@@ -33,7 +33,7 @@
     block_on(async {
         harness.until_ready(true).await;
         let upstream = &harness.upstreams[resting];
-        upstream.reply(vec![Reply::BackOff(BACKOFF_TEXT)]);
+        upstream.set_replies(vec![Reply::BackOff(BACKOFF_TEXT)]);
         let said = until_asked(&harness, path, upstream).await;
         all_served(&repeat(&harness, path, PAUSE, BACKOFF - ON_ITS_WAY).await);
         let late = arrivals(upstream, said + ON_ITS_WAY, said + BACKOFF);
@@ -55,7 +55,7 @@
     block_on(async {
         harness.until_ready(true).await;
         for upstream in &harness.upstreams[..2] {
-            upstream.reply(vec![Reply::BackOff("60")]);
+            upstream.set_replies(vec![Reply::BackOff("60")]);
             until_asked(&harness, path, upstream).await;
         }
         let asked = || harness.upstreams[2].count() + harness.upstreams[3].count();
@@ -80,7 +80,7 @@
     block_on(async {
         harness.until_ready(true).await;
         for upstream in &harness.upstreams[1..] {
-            upstream.reply(vec![Reply::BackOff("60")]);
+            upstream.set_replies(vec![Reply::BackOff("60")]);
         }
         harness.ask("/staged/x", "first").await;
         let counted = Instant::now();
@@ -106,16 +106,19 @@
     block_on(async {
         harness.until_ready(true).await;
         let upstream = &harness.upstreams[0];
-        upstream.reply(vec![Reply::BackOff("1"), Reply::Whole("its answer")]);
+        upstream.set_replies(vec![Reply::BackOff("1"), Reply::Complete("its answer")]);
         let said = until_asked(&harness, "/once/x", upstream).await;
-        let before = harness.counted("jd_gateway_repeats_total").await;
+        let before = harness.counter_total("jd_gateway_repeats_total").await;
         while harness.ask("/once/x", "next").await.status != 200 {
             Timer::after(PAUSE).await;
         }
         let took = said.elapsed();
         let due = Duration::from_millis(1_100) + ON_ITS_WAY;
         assert!(took >= Duration::from_secs(1) && took < due, "{took:?}");
-        assert_eq!(harness.counted("jd_gateway_repeats_total").await, before);
+        assert_eq!(
+            harness.counter_total("jd_gateway_repeats_total").await,
+            before
+        );
     });
 }
 
--- a/crates/gateway/tests/whole/cold_start.rs
+++ b/crates/gateway/tests/whole/cold_start.rs
@@ -16,9 +16,9 @@
 /// it is cold.
 fn two_upstreams() -> Harness {
     let record = Record::Deployment(Box::new(cold_deployment(3.0)));
-    let replies = vec![vec![Reply::Whole("a")], vec![Reply::Whole("b")]];
+    let replies = vec![vec![Reply::Complete("a")], vec![Reply::Complete("b")]];
     let harness = Harness::start_with(replies, vec![record]);
-    harness.place_in_zone(1, "b");
+    harness.set_zone(1, "b");
     harness
 }
 
@@ -45,7 +45,7 @@
     let harness = two_upstreams();
     block_on(async {
         harness.until_ready(true).await;
-        harness.make_cold(0, Duration::from_secs(60));
+        harness.set_cold(0, Duration::from_secs(60));
         until_seen(&harness).await;
         assert!(answered_by_first(&harness).await <= 3);
     });
@@ -77,7 +77,7 @@
     block_on(async {
         harness.until_ready(true).await;
         for upstream in [0, 1] {
-            harness.make_cold(upstream, Duration::from_secs(60));
+            harness.set_cold(upstream, Duration::from_secs(60));
         }
         until_seen(&harness).await;
         let mut last = harness.ask("/once/x", "first").await;
--- a/crates/gateway/tests/whole/evacuation.rs
+++ b/crates/gateway/tests/whole/evacuation.rs
@@ -17,8 +17,8 @@
 
 /// Two upstreams, the second in another zone.
 fn two_zones() -> Harness {
-    let harness = Harness::start(vec![vec![Reply::Whole("a")], vec![Reply::Whole("b")]]);
-    harness.place_in_zone(1, "b");
+    let harness = Harness::start(vec![vec![Reply::Complete("a")], vec![Reply::Complete("b")]]);
+    harness.set_zone(1, "b");
     harness
 }
 
--- a/crates/gateway/tests/whole/fakes/ending_fleet.rs
+++ b/crates/gateway/tests/whole/fakes/ending_fleet.rs
@@ -7,9 +7,9 @@
 use async_executor::Task;
 use async_io::Timer;
 
+use crate::fakes::CallerResponse;
 use crate::fakes::EndingUpstreams;
 use crate::fakes::Harness;
-use crate::fakes::Received;
 use crate::fakes::Reply;
 
 /// Instances of a fleet in these tests.
@@ -21,8 +21,8 @@
 
 /// A fleet before so many upstreams that end.
 pub(crate) fn fleet(upstreams: usize) -> (Harness, Arc<EndingUpstreams>) {
-    let stage = vec![Reply::Late("made", STAGE_TAKES)];
-    let mut harness = Harness::start_staged(Vec::new(), stage);
+    let stage = vec![Reply::Delayed("made", STAGE_TAKES)];
+    let mut harness = Harness::start_with_stage(Vec::new(), stage);
     harness.add_gateways(INSTANCES - 1);
     let upstreams = EndingUpstreams::start(harness.executor(), &harness.store, upstreams);
     (harness, upstreams)
@@ -35,7 +35,7 @@
     path: &'static str,
     pause: Duration,
     span: Duration,
-) -> Vec<Received> {
+) -> Vec<CallerResponse> {
     let began = Instant::now();
     let mut asked = Vec::new();
     for n in 0.. {
@@ -63,7 +63,7 @@
     path: &'static str,
     pause: Duration,
     span: Duration,
-) -> Task<Vec<Received>> {
+) -> Task<Vec<CallerResponse>> {
     let caller = Arc::clone(harness);
     harness.spawn(async move { repeat(&caller, path, pause, span).await })
 }
@@ -93,7 +93,7 @@
     }
 }
 
-pub(crate) fn is_quarantined(received: &Received) -> bool {
+pub(crate) fn is_quarantined(received: &CallerResponse) -> bool {
     let detail = "upstreams that ran this request ended, one after the other";
     received.status == 503 && received.body == detail
 }
--- a/crates/gateway/tests/whole/fakes/fake_dialect.rs
+++ b/crates/gateway/tests/whole/fakes/fake_dialect.rs
@@ -15,10 +15,10 @@
 use http::StatusCode;
 use http::Uri;
 use http::request::Parts;
-use jd_gateway::AnswerHead;
 use jd_gateway::Dialect;
 use jd_gateway::LocateQuery;
-use jd_gateway::UpstreamCall;
+use jd_gateway::ResponseHead;
+use jd_gateway::UpstreamRequest;
 use jd_net::Body;
 use jd_serving::CallHead;
 use jd_serving::PieceOrder;
@@ -54,7 +54,7 @@
     fn upstream_request(
         &self,
         parts: &Parts,
-        call: &UpstreamCall<'_>,
+        request: &UpstreamRequest<'_>,
         body: Body,
     ) -> Request<Body> {
         let mut req = Request::new(body);
@@ -62,14 +62,14 @@
         *req.uri_mut() = parts.uri.clone();
         *req.headers_mut() = parts.headers.clone();
         req.headers_mut().remove("content-length");
-        if let Some(last) = call.last_event {
+        if let Some(last) = request.last_event {
             req.headers_mut().insert("after", HeaderValue::from(last));
         }
         req
     }
 
-    fn answer_head(&self, status: StatusCode, headers: &HeaderMap) -> AnswerHead {
-        AnswerHead {
+    fn response_head(&self, status: StatusCode, headers: &HeaderMap) -> ResponseHead {
+        ResponseHead {
             status,
             request_id: text(headers, "id").map(CompactString::from),
             signed: headers.contains_key("signed"),
@@ -78,12 +78,12 @@
         }
     }
 
-    fn named_limit(&self, headers: &HeaderMap) -> Result<Option<RequestRate>, RateError> {
+    fn rate_limit(&self, headers: &HeaderMap) -> Result<Option<RequestRate>, RateError> {
         let named = text(headers, "limit").map(RequestRate::try_from);
         named.transpose()
     }
 
-    fn says_leaving(&self, headers: &HeaderMap) -> bool {
+    fn announces_leaving(&self, headers: &HeaderMap) -> bool {
         headers.contains_key("leaving")
     }
 
@@ -135,11 +135,11 @@
         Some((0..count).map(result).collect())
     }
 
-    fn free_request(&self, _handles: &[CompactString]) -> Request<Body> {
+    fn free_results_request(&self, _handles: &[CompactString]) -> Request<Body> {
         Request::new(jd_net::empty())
     }
 
-    fn room_request(&self, _upstream: &str) -> Request<Body> {
+    fn capacity_request(&self, _upstream: &str) -> Request<Body> {
         let mut req = Request::new(jd_net::empty());
         *req.uri_mut() = Uri::from_static("/room");
         req.headers_mut()
@@ -147,7 +147,7 @@
         req
     }
 
-    fn room_report(&self, _body: &[u8]) -> Option<jd_serving::RoomReport> {
+    fn capacity_report(&self, _body: &[u8]) -> Option<jd_serving::RoomReport> {
         None
     }
 
@@ -161,7 +161,7 @@
         })
     }
 
-    fn locate_answer(&self, addresses: &[SocketAddr], _lifetime: Duration) -> Bytes {
+    fn locate_response(&self, addresses: &[SocketAddr], _lifetime: Duration) -> Bytes {
         let texts: Vec<String> = addresses.iter().map(SocketAddr::to_string).collect();
         Bytes::from(texts.join(" "))
     }
--- a/crates/gateway/tests/whole/fakes/fake_upstream.rs
+++ b/crates/gateway/tests/whole/fakes/fake_upstream.rs
@@ -30,9 +30,9 @@
 #[derive(Debug, Clone)]
 pub(crate) enum Reply {
     /// Its whole answer.
-    Whole(&'static str),
+    Complete(&'static str),
     /// The same after a while.
-    Late(&'static str, Duration),
+    Delayed(&'static str, Duration),
     /// That it did nothing.
     NotRun,
     /// The same, and that it wants nothing more for so many seconds.
@@ -52,7 +52,7 @@
         cut: bool,
     },
     /// The answer comes once the test lets it.
-    Held(async_channel::Receiver<()>),
+    UntilReleased(async_channel::Receiver<()>),
 }
 
 /// An upstream that answers as it is told, the last reply for ever.
@@ -92,18 +92,18 @@
     }
 
     /// Has it name a limit in all of its answers from now on, or none.
-    pub(crate) fn name_limit(&self, limit: Option<&'static str>) {
+    pub(crate) fn set_limit(&self, limit: Option<&'static str>) {
         let limit = limit.map(HeaderValue::from_static);
         *self.limit.lock().expect("a lock") = limit;
     }
 
     /// Has all of its answers say from now on that it leaves.
-    pub(crate) fn say_leaving(&self) {
+    pub(crate) fn announce_leaving(&self) {
         self.leaving.store(true, Ordering::Relaxed);
     }
 
     /// Has it answer so from now on.
-    pub(crate) fn reply(&self, replies: Vec<Reply>) {
+    pub(crate) fn set_replies(&self, replies: Vec<Reply>) {
         *self.replies.lock().expect("a lock") = replies.into();
     }
 
@@ -149,8 +149,8 @@
         let reply = self.next();
         Box::pin(async move {
             let res = match reply {
-                Reply::Whole(text) => answer(&id, StatusCode::OK, jd_net::full(text)),
-                Reply::Late(text, after) => {
+                Reply::Complete(text) => answer(&id, StatusCode::OK, jd_net::full(text)),
+                Reply::Delayed(text, after) => {
                     Timer::after(after).await;
                     answer(&id, StatusCode::OK, jd_net::full(text))
                 }
@@ -180,7 +180,7 @@
                     let body = jd_net::stream(stream::iter(parts).chain(end));
                     answer(&id, StatusCode::OK, body)
                 }
-                Reply::Held(rx) => {
+                Reply::UntilReleased(rx) => {
                     // Closed means let go as well.
                     let _ = rx.recv().await;
                     answer(&id, StatusCode::OK, jd_net::full("held"))
--- a/crates/gateway/tests/whole/fakes/harness.rs
+++ b/crates/gateway/tests/whole/fakes/harness.rs
@@ -34,7 +34,7 @@
 
 /// What a caller received.
 #[derive(Debug, PartialEq, Eq)]
-pub(crate) struct Received {
+pub(crate) struct CallerResponse {
     pub(crate) status: u16,
     pub(crate) body: String,
     /// False if the connection broke before the end.
@@ -74,13 +74,16 @@
     }
 
     /// The same with an upstream of the stage before `/staged/`.
-    pub(crate) fn start_staged(replies: Vec<Vec<Reply>>, stage: Vec<Reply>) -> Harness {
+    pub(crate) fn start_with_stage(replies: Vec<Vec<Reply>>, stage: Vec<Reply>) -> Harness {
         let records = vec![Record::Deployment(Box::new(staged_deployment()))];
         Harness::start_services(replies, vec![stage], records)
     }
 
     /// The same with two upstreams of the stage, the last of all.
-    pub(crate) fn start_two_staged(replies: Vec<Vec<Reply>>, stage: Vec<Reply>) -> Harness {
+    pub(crate) fn start_with_two_stage_upstreams(
+        replies: Vec<Vec<Reply>>,
+        stage: Vec<Reply>,
+    ) -> Harness {
         let records = vec![Record::Deployment(Box::new(staged_deployment()))];
         Harness::start_services(replies, vec![stage.clone(), stage], records)
     }
@@ -133,13 +136,13 @@
     }
 
     /// Has an upstream's entry say that it stands in another zone.
-    pub(crate) fn place_in_zone(&self, upstream: usize, zone: &str) {
+    pub(crate) fn set_zone(&self, upstream: usize, zone: &str) {
         let zone = Name::try_from(zone).expect("a name");
         self.rewrite_entry(upstream, |entry| entry.zone = zone);
     }
 
     /// Has an upstream's entry say that it is cold.
-    pub(crate) fn make_cold(&self, upstream: usize, left: Duration) {
+    pub(crate) fn set_cold(&self, upstream: usize, left: Duration) {
         self.rewrite_entry(upstream, |entry| entry.cold_left = left);
     }
 
@@ -188,7 +191,7 @@
     }
 
     /// Ends so many of the gateways that were added, as a loss of power would.
-    pub(crate) fn end_gateways(&mut self, count: usize) {
+    pub(crate) fn kill_gateways(&mut self, count: usize) {
         let kept = self.fleet.len().saturating_sub(count);
         self.fleet.truncate(kept);
     }
@@ -300,19 +303,19 @@
     }
 
     /// Sends a request with a credential in force.
-    pub(crate) async fn ask(&self, path: &str, id: &str) -> Received {
+    pub(crate) async fn ask(&self, path: &str, id: &str) -> CallerResponse {
         self.get(self.callers, path, id, "key-1").await
     }
 
     /// Sends a request to one instance of the fleet; numbers go round.
-    pub(crate) async fn ask_instance(&self, n: usize, path: &str, id: &str) -> Received {
+    pub(crate) async fn ask_instance(&self, n: usize, path: &str, id: &str) -> CallerResponse {
         let members = self.fleet.iter().map(|m| m.callers);
         let all: Vec<SocketAddr> = members.chain([self.callers]).collect();
         self.get(all[n % all.len()], path, id, "key-1").await
     }
 
     /// What a counter has reached on all gateways together.
-    pub(crate) async fn counted(&self, counter: &str) -> u64 {
+    pub(crate) async fn counter_total(&self, counter: &str) -> u64 {
         let mut sum = 0;
         let added = self.fleet.iter().map(|m| m.metrics);
         for address in added.chain([self.metrics]) {
@@ -326,12 +329,12 @@
     }
 
     /// Sends a request whose head is at least `bytes` large.
-    pub(crate) async fn ask_with_head(&self, path: &str, bytes: usize) -> Received {
+    pub(crate) async fn ask_with_head(&self, path: &str, bytes: usize) -> CallerResponse {
         self.get(self.callers, path, &"x".repeat(bytes), "key-1")
             .await
     }
 
-    pub(crate) async fn ask_with_key(&self, path: &str, key: &str) -> Received {
+    pub(crate) async fn ask_with_key(&self, path: &str, key: &str) -> CallerResponse {
         self.get(self.callers, path, "x", key).await
     }
 
@@ -343,7 +346,7 @@
         self.workers.spawn(f)
     }
 
-    async fn get(&self, address: SocketAddr, path: &str, id: &str, key: &str) -> Received {
+    async fn get(&self, address: SocketAddr, path: &str, id: &str, key: &str) -> CallerResponse {
         let req = Request::builder()
             .uri(path)
             .header("host", "desk.example")
@@ -368,7 +371,7 @@
                 Err(_) => break false,
             }
         };
-        Received {
+        CallerResponse {
             status: response.status.as_u16(),
             body,
             whole,
--- a/crates/gateway/tests/whole/fakes/mod.rs
+++ b/crates/gateway/tests/whole/fakes/mod.rs
@@ -17,5 +17,5 @@
 pub(crate) use fake_store::FakeStore;
 pub(crate) use fake_upstream::FakeUpstream;
 pub(crate) use fake_upstream::Reply;
+pub(crate) use harness::CallerResponse;
 pub(crate) use harness::Harness;
-pub(crate) use harness::Received;
--- a/crates/gateway/tests/whole/fakes/noticing.rs
+++ b/crates/gateway/tests/whole/fakes/noticing.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use crate::fakes::CallerResponse;
 use crate::fakes::FakeUpstream;
 use crate::fakes::Harness;
-use crate::fakes::Received;
 use crate::fakes::Reply;
 
 /// From one request to the next.
@@ -23,8 +23,8 @@
         parts: &["id: 1\ndata: a\n\n"],
         cut: false,
     };
-    let stage = Reply::Late("made", Duration::from_millis(5));
-    Arc::new(Harness::start_two_staged(
+    let stage = Reply::Delayed("made", Duration::from_millis(5));
+    Arc::new(Harness::start_with_two_stage_upstreams(
         vec![vec![stream]; upstreams],
         vec![stage],
     ))
@@ -36,7 +36,7 @@
     all.iter().filter(|at| **at >= from && **at < to).count()
 }
 
-pub(crate) fn all_served(received: &[Received]) {
-    let failed: Vec<&Received> = received.iter().filter(|r| r.status != 200).collect();
+pub(crate) fn all_served(received: &[CallerResponse]) {
+    let failed: Vec<&CallerResponse> = received.iter().filter(|r| r.status != 200).collect();
     assert!(failed.is_empty(), "the others take the rest: {failed:?}");
 }
