--- a/crates/gateway/tests/whole/fleet.rs
+++ b/crates/gateway/tests/whole/fleet.rs
@@ -21,7 +21,7 @@
 /// tell the others, and a route that is added reaches all of them all the same.
 #[test]
 fn a_change_reaches_instances_that_do_not_watch_the_store() {
-    let mut harness = Harness::start(vec![vec![Reply::Whole("yours")]]);
+    let mut harness = Harness::start(vec![vec![Reply::Complete("yours")]]);
     harness.add_gateways(19);
     block_on(async {
         harness.until_all_answer("/any/x", 200).await;
@@ -39,7 +39,7 @@
 /// seconds after it had left.
 #[test]
 fn a_change_arrives_though_those_that_watch_are_turned_away() {
-    let mut harness = Harness::start(vec![vec![Reply::Whole("a")], vec![Reply::Whole("b")]]);
+    let mut harness = Harness::start(vec![vec![Reply::Complete("a")], vec![Reply::Complete("b")]]);
     harness.add_gateways(19);
     block_on(async {
         harness.until_all_answer("/any/x", 200).await;
@@ -63,7 +63,7 @@
 /// them the last served callers after eight seconds.
 #[test]
 fn a_refused_page_is_asked_for_again_and_not_all_of_them() {
-    let mut harness = Harness::start(vec![vec![Reply::Whole("a")]; 5]);
+    let mut harness = Harness::start(vec![vec![Reply::Complete("a")]; 5]);
     let store = harness.add_gateway(2, false);
     block_on(async {
         harness.until_all_answer("/any/x", 200).await;
@@ -76,7 +76,7 @@
 /// from those that read.
 #[test]
 fn an_instance_that_has_read_nothing_asks_for_no_proof() {
-    let mut harness = Harness::start(vec![vec![Reply::Whole("a")]]);
+    let mut harness = Harness::start(vec![vec![Reply::Complete("a")]]);
     let store = harness.add_gateway(0, true);
     block_on(async {
         while store.samples() < 4 {
@@ -94,7 +94,7 @@
 /// five seconds after it was acknowledged.
 #[test]
 fn an_instance_that_has_lost_the_store_says_so_at_once() {
-    let mut harness = Harness::start(vec![vec![Reply::Whole("yours")]]);
+    let mut harness = Harness::start(vec![vec![Reply::Complete("yours")]]);
     let store = harness.add_gateway(0, false);
     block_on(async {
         harness.until_all_answer("/any/x", 200).await;
@@ -129,7 +129,7 @@
 /// route is added. That instance answered 404 there for as long as it was turned away.
 #[test]
 fn an_instance_that_is_turned_away_takes_a_later_version_from_the_others() {
-    let mut harness = Harness::start(vec![vec![Reply::Whole("yours")]]);
+    let mut harness = Harness::start(vec![vec![Reply::Complete("yours")]]);
     harness.add_gateways(4);
     let turned_away = harness.add_gateway(0, false);
     block_on(async {
@@ -161,7 +161,7 @@
 /// again it was named to nobody for the rest of the day: nothing told it.
 #[test]
 fn an_instance_whose_entry_was_removed_writes_it_again() {
-    let harness = Harness::start(vec![vec![Reply::Whole("a")]]);
+    let harness = Harness::start(vec![vec![Reply::Complete("a")]]);
     block_on(async {
         harness.until_ready(true).await;
         let id = harness.until_announced(1).await;
@@ -174,7 +174,7 @@
 /// once, in vain, and from then on only its lease was renewed.
 #[test]
 fn an_entry_that_could_not_be_written_again_is_tried_until_it_is() {
-    let harness = Harness::start(vec![vec![Reply::Whole("a")]]);
+    let harness = Harness::start(vec![vec![Reply::Complete("a")]]);
     block_on(async {
         harness.until_ready(true).await;
         let id = harness.until_announced(1).await;
@@ -190,7 +190,7 @@
 /// most, read it whole.
 #[test]
 fn a_start_among_many_reads_nothing_but_who_is_there() {
-    let mut harness = Harness::start(vec![vec![Reply::Whole("a")]]);
+    let mut harness = Harness::start(vec![vec![Reply::Complete("a")]]);
     harness.add_gateways(19);
     block_on(async {
         harness.until_all_answer("/any/x", 200).await;
@@ -210,7 +210,7 @@
 /// and ran requests that only an older configuration allows.
 #[test]
 fn those_that_read_hear_from_others_once_their_watch_hangs() {
-    let mut harness = Harness::start(vec![vec![Reply::Whole("a")]]);
+    let mut harness = Harness::start(vec![vec![Reply::Complete("a")]]);
     harness.add_gateways(19);
     block_on(async {
         harness.until_all_answer("/any/x", 200).await;
--- a/crates/gateway/tests/whole/leaving.rs
+++ b/crates/gateway/tests/whole/leaving.rs
@@ -13,8 +13,8 @@
 use jd_types::Name;
 use test_case::test_case;
 
+use crate::fakes::CallerResponse;
 use crate::fakes::Harness;
-use crate::fakes::Received;
 use crate::fakes::Reply;
 use crate::fakes::ending_fleet::repeat;
 use crate::fakes::noticing::LOAD;
@@ -34,7 +34,7 @@
     let harness = gateway(3);
     block_on(async {
         harness.until_ready(true).await;
-        harness.upstreams[leaving].say_leaving();
+        harness.upstreams[leaving].announce_leaving();
         repeat(&harness, path, PAUSE, ON_ITS_WAY).await;
         let counted = Instant::now();
         all_served(&repeat(&harness, path, PAUSE, LOAD).await);
@@ -51,12 +51,12 @@
     block_on(async {
         harness.until_ready(true).await;
         harness.store.set_away(true);
-        harness.upstreams[0].say_leaving();
+        harness.upstreams[0].announce_leaving();
         repeat(&harness, "/open/x", PAUSE, ON_ITS_WAY).await;
         let counted = Instant::now();
         all_served(&repeat(&harness, "/open/x", PAUSE, LOAD).await);
         harness.store.set_away(false);
-        harness.make_cold(0, Duration::ZERO);
+        harness.set_cold(0, Duration::ZERO);
         all_served(&repeat(&harness, "/open/x", PAUSE, LOAD).await);
         let late = arrivals(&harness.upstreams[0], counted, Instant::now());
         assert_eq!(late, 0, "sent after it had said that it leaves");
@@ -70,13 +70,13 @@
     let zone = Name::try_from("b").expect("a name");
     block_on(async {
         harness.until_ready(true).await;
-        harness.place_in_zone(0, "b");
+        harness.set_zone(0, "b");
         let held = until_held(&harness).await;
         harness
             .store
             .change(Change::Put(Record::EvacuatedZone(zone.clone())));
         until_left(&harness).await;
-        harness.upstreams[0].say_leaving();
+        harness.upstreams[0].announce_leaving();
         drop(held.0);
         assert_eq!(held.1.await.status, 200);
         harness.store.change(Change::ZoneTakenBack(zone));
@@ -93,11 +93,11 @@
     let harness = gateway(2);
     block_on(async {
         harness.until_ready(true).await;
-        harness.upstreams[0].reply(vec![Reply::Stream {
+        harness.upstreams[0].set_replies(vec![Reply::Stream {
             parts: &["id: 1\ndata: a\n\n"],
             cut: true,
         }]);
-        harness.upstreams[0].say_leaving();
+        harness.upstreams[0].announce_leaving();
         repeat(&harness, "/any/x", PAUSE, ON_ITS_WAY).await;
         let counted = Instant::now();
         all_served(&repeat(&harness, "/any/x", PAUSE, LOAD).await);
@@ -113,16 +113,16 @@
     let harness = gateway(1);
     block_on(async {
         harness.until_ready(true).await;
-        harness.upstreams[0].reply(vec![Reply::Misdirected]);
-        harness.upstreams[0].say_leaving();
-        harness.upstreams[0].name_limit(Some("1"));
+        harness.upstreams[0].set_replies(vec![Reply::Misdirected]);
+        harness.upstreams[0].announce_leaving();
+        harness.upstreams[0].set_limit(Some("1"));
         harness.ask("/once/x", "misdirected").await;
         assert!(harness.upstreams[0].count() > 0);
         for counter in [
             "jd_gateway_limited_upstreams",
             "jd_gateway_upstream_notices_total{kind=\"leaving\"}",
         ] {
-            assert_eq!(harness.counted(counter).await, 0, "{counter}");
+            assert_eq!(harness.counter_total(counter).await, 0, "{counter}");
         }
     });
 }
@@ -134,12 +134,12 @@
     let harness = gateway(2);
     block_on(async {
         harness.until_ready(true).await;
-        harness.upstreams[0].reply(vec![Reply::Misdirected]);
+        harness.upstreams[0].set_replies(vec![Reply::Misdirected]);
         all_served(&repeat(&harness, "/any/x", PAUSE, LOAD).await);
         let sent = harness.upstreams[0].count();
         assert!(sent <= 2, "{sent} requests came back");
-        harness.upstreams[0].reply(vec![Reply::Whole("its answer")]);
-        harness.make_cold(0, Duration::from_millis(1));
+        harness.upstreams[0].set_replies(vec![Reply::Complete("its answer")]);
+        harness.set_cold(0, Duration::from_millis(1));
         while harness.upstreams[0].count() == sent {
             harness.ask("/any/x", "later").await;
         }
@@ -147,9 +147,9 @@
 }
 
 /// A request that the first upstream works on until the sender is dropped.
-async fn until_held(harness: &Arc<Harness>) -> (Sender<()>, Task<Received>) {
+async fn until_held(harness: &Arc<Harness>) -> (Sender<()>, Task<CallerResponse>) {
     let (tx, rx) = async_channel::bounded(1);
-    harness.upstreams[0].reply(vec![Reply::Held(rx)]);
+    harness.upstreams[0].set_replies(vec![Reply::UntilReleased(rx)]);
     loop {
         let asked = harness.upstreams[0].count();
         let caller = Arc::clone(harness);
@@ -161,7 +161,7 @@
         };
         answered.await;
         if harness.upstreams[0].count() > asked {
-            harness.upstreams[0].reply(vec![Reply::Whole("its answer")]);
+            harness.upstreams[0].set_replies(vec![Reply::Complete("its answer")]);
             return (tx, asking);
         }
         asking.await;
--- a/crates/gateway/tests/whole/limits.rs
+++ b/crates/gateway/tests/whole/limits.rs
@@ -24,9 +24,9 @@
 use futures_lite::future::block_on;
 use test_case::test_case;
 
+use crate::fakes::CallerResponse;
 use crate::fakes::FakeUpstream;
 use crate::fakes::Harness;
-use crate::fakes::Received;
 use crate::fakes::Reply;
 use crate::fakes::ending_fleet::repeat;
 
@@ -47,8 +47,8 @@
         parts: &["id: 1\ndata: a\n\n"],
         cut: false,
     };
-    let stage = Reply::Late("made", Duration::from_millis(5));
-    let mut harness = Harness::start_staged(vec![vec![stream]; upstreams], vec![stage]);
+    let stage = Reply::Delayed("made", Duration::from_millis(5));
+    let mut harness = Harness::start_with_stage(vec![vec![stream]; upstreams], vec![stage]);
     harness.add_gateways(INSTANCES - 1);
     Arc::new(harness)
 }
@@ -73,7 +73,7 @@
 
 /// Loads the fleet until it has heard of a limit, and then for as long as counted; what
 /// callers received, and from when on arrivals count.
-async fn load(harness: &Arc<Harness>, path: &'static str) -> (Vec<Received>, Instant) {
+async fn load(harness: &Arc<Harness>, path: &'static str) -> (Vec<CallerResponse>, Instant) {
     harness.until_ready(true).await;
     harness.until_all_answer("/open/x", 200).await;
     repeat(harness, path, PAUSE, HEARD_WITHIN).await;
@@ -89,11 +89,11 @@
 #[test_case("/staged/x"; "after stages")]
 fn a_fleet_sends_a_limited_upstream_no_more_than_it_takes(path: &'static str) {
     let harness = fleet(3);
-    harness.upstreams[0].name_limit(Some("1"));
+    harness.upstreams[0].set_limit(Some("1"));
     let (received, counted) = block_on(load(&harness, path));
     let most = most_arrivals(&harness.upstreams[0], counted);
     assert!(most <= allowed(1.0), "{most} in four seconds");
-    let failed: Vec<&Received> = received.iter().filter(|r| r.status != 200).collect();
+    let failed: Vec<&CallerResponse> = received.iter().filter(|r| r.status != 200).collect();
     assert!(failed.is_empty(), "the others take the rest: {failed:?}");
 }
 
@@ -102,7 +102,7 @@
 #[test]
 fn a_fleet_asks_a_limited_upstream_for_no_more_pieces_than_it_takes() {
     let harness = fleet(3);
-    harness.upstreams[3].name_limit(Some("1"));
+    harness.upstreams[3].set_limit(Some("1"));
     let (_, counted) = block_on(load(&harness, "/staged/x"));
     let most = most_arrivals(&harness.upstreams[3], counted);
     assert!(most <= allowed(1.0), "{most} in four seconds");
@@ -114,7 +114,7 @@
 fn a_fleet_uses_what_limited_upstreams_take_and_refuses_the_rest() {
     let harness = fleet(2);
     for upstream in &harness.upstreams[..2] {
-        upstream.name_limit(Some("2"));
+        upstream.set_limit(Some("2"));
     }
     let (received, counted) = block_on(load(&harness, "/once/x"));
     for upstream in &harness.upstreams[..2] {
@@ -136,12 +136,12 @@
 #[test]
 fn a_fleet_hears_that_a_limit_has_ended() {
     let harness = fleet(2);
-    harness.upstreams[0].name_limit(Some("0.2"));
+    harness.upstreams[0].set_limit(Some("0.2"));
     block_on(async {
         let (_, counted) = load(&harness, "/any/x").await;
         let most = most_arrivals(&harness.upstreams[0], counted);
         assert!(most <= allowed(0.2), "{most} in four seconds");
-        harness.upstreams[0].name_limit(None);
+        harness.upstreams[0].set_limit(None);
         let until = Instant::now() + Duration::from_secs(30);
         loop {
             let before = harness.upstreams[0].count();
@@ -160,12 +160,12 @@
 #[test]
 fn a_limit_is_kept_when_those_that_give_out_permits_are_lost() {
     let mut harness = fleet(2);
-    harness.upstreams[0].name_limit(Some("1"));
+    harness.upstreams[0].set_limit(Some("1"));
     block_on(async {
         load(&harness, "/any/x").await;
         let lost = INSTANCES - 3;
         let owned = Arc::get_mut(&mut harness).expect("nobody else asks");
-        owned.end_gateways(lost);
+        owned.kill_gateways(lost);
         let counted = Instant::now();
         let received = repeat(&harness, "/any/x", PAUSE, LOAD).await;
         let most = most_arrivals(&harness.upstreams[0], counted);
@@ -184,7 +184,7 @@
 #[test]
 fn a_limit_is_heard_again_after_all_instances_have_started_anew() {
     let mut harness = fleet(2);
-    harness.upstreams[0].name_limit(Some("1"));
+    harness.upstreams[0].set_limit(Some("1"));
     block_on(async {
         load(&harness, "/any/x").await;
         let owned = Arc::get_mut(&mut harness).expect("nobody else asks");
@@ -210,7 +210,7 @@
     let mut harness = Harness::start(vec![vec![cut], vec![whole.clone()], vec![whole]]);
     harness.add_gateways(INSTANCES - 1);
     let harness = Arc::new(harness);
-    harness.upstreams[1].name_limit(Some("1"));
+    harness.upstreams[1].set_limit(Some("1"));
     let (_, counted) = block_on(load(&harness, "/resume/x"));
     let most = most_arrivals(&harness.upstreams[1], counted);
     assert!(most <= allowed(1.0), "{most} in four seconds");
@@ -222,7 +222,7 @@
 #[test_case(""; "empty")]
 fn an_upstream_whose_limit_cannot_be_read_is_used_as_before(limit: &'static str) {
     let harness = fleet(1);
-    harness.upstreams[0].name_limit(Some(limit));
+    harness.upstreams[0].set_limit(Some(limit));
     block_on(async {
         harness.until_ready(true).await;
         for n in 0..20 {
@@ -238,7 +238,7 @@
 #[test]
 fn instances_hear_of_a_limit_from_each_other() {
     let harness = fleet(1);
-    harness.upstreams[0].name_limit(Some("0.2"));
+    harness.upstreams[0].set_limit(Some("0.2"));
     block_on(async {
         harness.until_ready(true).await;
         // Any instance may still have to read the configuration.
@@ -258,7 +258,7 @@
 #[test]
 fn stages_are_not_done_for_what_no_upstream_takes() {
     let harness = fleet(1);
-    harness.upstreams[0].name_limit(Some("0.2"));
+    harness.upstreams[0].set_limit(Some("0.2"));
     let (received, counted) = block_on(load(&harness, "/staged/x"));
     let served = received.iter().filter(|r| r.status == 200).count();
     let made = harness.upstreams[1].arrivals();
@@ -283,13 +283,13 @@
 #[test]
 fn those_that_are_turned_away_ask_again_only_when_their_turn_may_have_come() {
     let harness = fleet(1);
-    harness.upstreams[0].name_limit(Some("1"));
+    harness.upstreams[0].set_limit(Some("1"));
     let asked = block_on(async {
         let (received, _) = load(&harness, "/once/x").await;
         let refused = received.iter().filter(|r| r.status == 503).count();
         assert!(refused > received.len() / 2, "{refused} refused");
         let counter = "jd_gateway_permits_total{outcome=\"turned-away\"}";
-        harness.counted(counter).await
+        harness.counter_total(counter).await
     });
     // Twice a second each, and as often again at the most while they learn of each other.
     let seconds = (HEARD_WITHIN + LOAD).as_secs_f64();
--- a/crates/gateway/tests/whole/requests.rs
+++ b/crates/gateway/tests/whole/requests.rs
@@ -7,8 +7,8 @@
 use jd_gateway::Change;
 use jd_gateway::Record;
 
+use crate::fakes::CallerResponse;
 use crate::fakes::Harness;
-use crate::fakes::Received;
 use crate::fakes::Reply;
 use crate::fakes::deployment;
 
@@ -16,8 +16,8 @@
     harness.upstreams.iter().map(|u| u.count()).sum()
 }
 
-fn answered(body: &str) -> Received {
-    Received {
+fn answered(body: &str) -> CallerResponse {
+    CallerResponse {
         status: 200,
         body: body.into(),
         whole: true,
@@ -28,7 +28,7 @@
 
 #[test]
 fn an_answer_is_passed_on_whole() {
-    let harness = Harness::start(vec![vec![Reply::Whole("yours")]]);
+    let harness = Harness::start(vec![vec![Reply::Complete("yours")]]);
     block_on(async {
         harness.until_ready(true).await;
         assert_eq!(harness.ask("/any/x", "1").await, answered("yours"));
@@ -78,7 +78,7 @@
 
 #[test]
 fn an_idempotent_request_outlives_one_failing_upstream() {
-    let harness = Harness::start(vec![vec![Reply::Failure, Reply::Whole("yours")]; 2]);
+    let harness = Harness::start(vec![vec![Reply::Failure, Reply::Complete("yours")]; 2]);
     block_on(async {
         harness.until_ready(true).await;
         harness.ask("/any/x", "1").await;
@@ -150,7 +150,7 @@
 /// for good then, callers with everything in order would not ask again.
 #[test]
 fn without_a_configuration_nothing_is_refused_for_good() {
-    let harness = Harness::start_with(vec![vec![Reply::Whole("yours")]], Vec::new());
+    let harness = Harness::start_with(vec![vec![Reply::Complete("yours")]], Vec::new());
     block_on(async {
         let received = harness.ask("/any/x", "1").await;
         assert_eq!(received.status, 503);
@@ -160,7 +160,7 @@
 
 #[test]
 fn unknown_routes_and_credentials_are_refused_for_good() {
-    let harness = Harness::start(vec![vec![Reply::Whole("yours")]]);
+    let harness = Harness::start(vec![vec![Reply::Complete("yours")]]);
     block_on(async {
         harness.until_ready(true).await;
         assert_eq!(harness.ask("/none/x", "1").await.status, 404);
@@ -174,7 +174,7 @@
 /// it knows, nor refuse for good on the strength of it.
 #[test]
 fn without_proof_nothing_runs_until_the_store_is_back() {
-    let harness = Harness::start(vec![vec![Reply::Whole("yours")]]);
+    let harness = Harness::start(vec![vec![Reply::Complete("yours")]]);
     block_on(async {
         harness.until_ready(true).await;
         harness.store.set_away(true);
@@ -192,7 +192,7 @@
 /// belong to another service, and nothing new may reach it.
 #[test]
 fn an_upstream_that_is_gone_gets_nothing_new() {
-    let harness = Harness::start(vec![vec![Reply::Whole("a")], vec![Reply::Whole("b")]]);
+    let harness = Harness::start(vec![vec![Reply::Complete("a")], vec![Reply::Complete("b")]]);
     block_on(async {
         harness.until_ready(true).await;
         harness.store.change(Change::UpstreamGone("i-0".into()));
@@ -218,7 +218,7 @@
 #[test]
 fn a_stop_cuts_no_request_short() {
     let (tx, rx) = async_channel::bounded(1);
-    let harness = Harness::start(vec![vec![Reply::Held(rx)]]);
+    let harness = Harness::start(vec![vec![Reply::UntilReleased(rx)]]);
     let harness = Arc::new(harness);
     block_on(async {
         harness.until_ready(true).await;
@@ -240,7 +240,7 @@
 /// and nothing of their request reaches an upstream.
 #[test]
 fn the_operators_bound_on_heads_is_followed() {
-    let harness = Harness::start(vec![vec![Reply::Whole("yours")]]);
+    let harness = Harness::start(vec![vec![Reply::Complete("yours")]]);
     block_on(async {
         harness.until_ready(true).await;
         assert_eq!(harness.ask_with_head("/any/x", 9_000).await.status, 200);
@@ -264,8 +264,8 @@
 #[test]
 fn stages_that_fail_after_a_send_do_not_make_it_not_run() {
     let reply = Reply::CrossedThenInputsGone(Arc::default());
-    let stage = vec![Reply::Whole("made"), Reply::Whole("failed")];
-    let harness = Harness::start_staged(vec![vec![reply]; 2], stage);
+    let stage = vec![Reply::Complete("made"), Reply::Complete("failed")];
+    let harness = Harness::start_with_stage(vec![vec![reply]; 2], stage);
     block_on(async {
         harness.until_ready(true).await;
         let received = harness.ask("/staged/x", "1").await;
--- a/crates/gateway/tests/whole/restarts.rs
+++ b/crates/gateway/tests/whole/restarts.rs
@@ -23,7 +23,7 @@
 /// address included, was kept by identity, and requests went to where it had been.
 #[test]
 fn requests_go_to_where_an_upstream_has_started_again() {
-    let harness = Harness::start(vec![vec![Reply::Whole("a")], vec![Reply::Whole("b")]]);
+    let harness = Harness::start(vec![vec![Reply::Complete("a")], vec![Reply::Complete("b")]]);
     block_on(async {
         harness.until_ready(true).await;
         harness.store.change(Change::UpstreamGone("i-1".into()));
@@ -41,7 +41,10 @@
 #[test]
 fn a_request_at_an_earlier_start_goes_on_elsewhere() {
     let (_tx, rx) = async_channel::bounded(1);
-    let harness = Harness::start(vec![vec![Reply::Held(rx)], vec![Reply::Whole("b")]]);
+    let harness = Harness::start(vec![
+        vec![Reply::UntilReleased(rx)],
+        vec![Reply::Complete("b")],
+    ]);
     let harness = Arc::new(harness);
     block_on(async {
         harness.until_ready(true).await;
@@ -70,7 +73,7 @@
 /// been there stayed in use; now it is left out, and the other one holds.
 #[test]
 fn an_upstream_whose_entry_is_written_over_gets_nothing_new() {
-    let harness = Harness::start(vec![vec![Reply::Whole("a")], vec![Reply::Whole("b")]]);
+    let harness = Harness::start(vec![vec![Reply::Complete("a")], vec![Reply::Complete("b")]]);
     block_on(async {
         harness.until_ready(true).await;
         harness.store.change(Change::UpstreamUnreadable {
