--- a/crates/gateway/src/batch_dispatcher.rs
+++ b/crates/gateway/src/batch_dispatcher.rs
@@ -250,7 +250,7 @@
             .upstream_client
             .permit(state, upstream, SendPurpose::Maintenance)
             .await;
-        let req = dialect.capacity_request(&question.upstream);
+        let req = dialect.storage_request(&question.upstream);
         let sending = state
             .upstream_client
             .send(state, permit.ok()?, req, ROOM_WITHIN, || {});
@@ -259,7 +259,7 @@
             return None;
         }
         let body = within(ROOM_WITHIN, response.whole(MAX_ANSWER)).await?;
-        dialect.capacity_report(&body.ok()?)
+        dialect.storage_report(&body.ok()?)
     }
 
     async fn make(self: Arc<Self>, shard: Shard, call: BatchCall) {
--- a/crates/gateway/src/cluster_state.rs
+++ b/crates/gateway/src/cluster_state.rs
@@ -39,7 +39,7 @@
     pub(crate) newer_peer: Option<(Incarnation, MonoTime)>,
     pub(crate) mirror: StoreMirror,
     /// Instances that brought no news or had lost the store, and when.
-    source_states: HashMap<Incarnation, (MonoTime, SourceState)>,
+    source_health_by_peer: HashMap<Incarnation, (MonoTime, SourceState)>,
     /// When the store's list of instances was first read.
     pub(crate) instances_listed_at: Option<MonoTime>,
     /// Earlier starts of this instance whose entries the store still has.
@@ -50,23 +50,23 @@
 
 impl ClusterState {
     /// What an instance was lately like as a source of news.
-    pub(crate) fn source_state(&self, now: MonoTime, id: Incarnation) -> SourceState {
-        match self.source_states.get(&id) {
+    pub(crate) fn source_health(&self, now: MonoTime, id: Incarnation) -> SourceState {
+        match self.source_health_by_peer.get(&id) {
             Some((since, state)) if now.since(*since) < SOURCE_STATE_LASTS => *state,
             _ => SourceState::Able,
         }
     }
 
     /// An instance was like this as a source of news.
-    pub(crate) fn record_source_state(
+    pub(crate) fn record_source_health(
         &mut self,
         now: MonoTime,
         id: Incarnation,
         state: SourceState,
     ) {
         match state {
-            SourceState::Able => self.source_states.remove(&id),
-            _ => self.source_states.insert(id, (now, state)),
+            SourceState::Able => self.source_health_by_peer.remove(&id),
+            _ => self.source_health_by_peer.insert(id, (now, state)),
         };
     }
 
@@ -86,8 +86,8 @@
     }
 
     /// Forgets what sources were like longer ago than counts.
-    pub(crate) fn expire_source_states(&mut self, now: MonoTime) {
-        self.source_states
+    pub(crate) fn expire_source_health(&mut self, now: MonoTime) {
+        self.source_health_by_peer
             .retain(|_, (since, _)| now.since(*since) < SOURCE_STATE_LASTS);
     }
 }
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -110,10 +110,10 @@
     fn free_results_request(&self, handles: &[CompactString]) -> Request<Body>;
 
     /// A question to an upstream of stages how much room it has.
-    fn capacity_request(&self, upstream: &str) -> Request<Body>;
+    fn storage_request(&self, upstream: &str) -> Request<Body>;
 
     /// Reads the answer to such a question; none if it is not one.
-    fn capacity_report(&self, body: &[u8]) -> Option<RoomReport>;
+    fn storage_report(&self, body: &[u8]) -> Option<RoomReport>;
 
     /// Where a result lies; none if its handle does not tell.
     fn result_address(&self, handle: &str) -> Option<SocketAddr>;
--- a/crates/gateway/src/peer_api.rs
+++ b/crates/gateway/src/peer_api.rs
@@ -92,7 +92,7 @@
             proof: peer_news::wire_proof(&self.state),
             backlogs: backlogs.collect(),
             unlisted,
-            has_read: self.state.has_read_store(),
+            has_read: self.state.store_loaded(),
             quarantine: peer_quarantine::wire_quarantine(&self.state.quarantine, now),
             limits: peer_limits::told(&self.state),
             version: self.state.cluster().deployment_version(),
--- a/crates/gateway/src/peer_news.rs
+++ b/crates/gateway/src/peer_news.rs
@@ -44,7 +44,7 @@
     let now = state.now();
     let cluster = state.cluster();
     let after = cluster.mirror.revision();
-    let knows_away = cluster.source_state(now, id) == SourceState::StoreAway;
+    let knows_away = cluster.source_health(now, id) == SourceState::StoreAway;
     drop(cluster);
     FollowRequest {
         after: after.revision,
@@ -173,7 +173,7 @@
 /// told after the whole wait, so that a zone was five seconds behind the store.
 pub(crate) async fn answer(state: &State, req: FollowRequest) -> FollowReply {
     let came = state.now();
-    if at(req.after_era, req.after) == StoreRevision::NOTHING && !state.has_read_store() {
+    if at(req.after_era, req.after) == StoreRevision::NOTHING && !state.store_loaded() {
         state.snapshot_requested.notify();
     }
     let until = came + Duration::from_millis(u64::from(req.wait_ms));
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -223,7 +223,7 @@
             incarnation: self.state.own_entry.incarnation.get(),
             leaving: self.state.is_leaving(),
             ready: self.state.is_ready(),
-            has_read: self.state.has_read_store(),
+            has_read: self.state.store_loaded(),
             quarantine: peer_quarantine::wire_quarantine(&self.state.quarantine, self.state.now()),
             limits: peer_limits::told(&self.state),
         };
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -179,7 +179,7 @@
     pub(crate) fn has_lost_store(&self) -> bool {
         let now = self.now();
         let cluster = self.cluster();
-        let own = cluster.source_state(now, self.own_entry.incarnation);
+        let own = cluster.source_health(now, self.own_entry.incarnation);
         own == SourceState::StoreAway || cluster.upstreams.is_store_away()
     }
 
@@ -261,12 +261,12 @@
     pub(crate) fn news_source(&self) -> NewsSource {
         let now = self.now();
         let cluster = self.cluster();
-        let state = |id| cluster.source_state(now, id);
+        let state = |id| cluster.source_health(now, id);
         news_source(&self.own_entry, cluster.instances.live(now), state)
     }
 
     /// True once everything that the store holds has been read.
-    pub(crate) fn has_read_store(&self) -> bool {
+    pub(crate) fn store_loaded(&self) -> bool {
         self.cluster().mirror.revision() > StoreRevision::NOTHING
     }
 
--- a/crates/gateway/src/store_follower.rs
+++ b/crates/gateway/src/store_follower.rs
@@ -154,7 +154,7 @@
             && state.now().since(asked) < RELAYS_WITHIN
         {
             self.follow_instance(id, FIRST_FOLLOW_WAIT).await;
-            if state.has_read_store() {
+            if state.store_loaded() {
                 return Ok(());
             }
         }
@@ -181,7 +181,7 @@
                     // What it knows may be old, while the store answered here just now.
                     Some(_) | None => sources.is_silent(source),
                 }
-                if state.has_read_store() {
+                if state.store_loaded() {
                     return false;
                 }
             }
@@ -211,7 +211,7 @@
             state.backoffs.expire(now);
             let (gone, taken_back) = {
                 let mut cluster = state.cluster();
-                cluster.expire_source_states(now);
+                cluster.expire_source_health(now);
                 cluster.instances.expire(now);
                 let gone = cluster.upstreams.expire(now);
                 (gone, cluster.evacuated_zones.expire(now))
@@ -332,7 +332,7 @@
         let Some(heard) = asking.or(gone).await else {
             let now = state.now();
             let mut cluster = state.cluster();
-            cluster.record_source_state(now, id, SourceState::Silent);
+            cluster.record_source_health(now, id, SourceState::Silent);
             return false;
         };
         let silent = heard.news.iter().all(|n| n.items.is_empty());
@@ -346,7 +346,7 @@
             log::info!(source:% = id; "the instance followed brings no proof");
             let now = state.now();
             let mut cluster = state.cluster();
-            cluster.record_source_state(now, id, SourceState::Silent);
+            cluster.record_source_health(now, id, SourceState::Silent);
         }
         if !silent {
             Timer::after(GATHER).await;
@@ -363,7 +363,7 @@
         let state = &self.link.state;
         let now = state.now();
         let mut cluster = state.cluster();
-        cluster.record_source_state(now, id, SourceState::StoreAway);
+        cluster.record_source_health(now, id, SourceState::StoreAway);
         drop(cluster);
         if state.news_source().instance() == Some(id) {
             self.link.away();
--- a/crates/gateway/src/store_link.rs
+++ b/crates/gateway/src/store_link.rs
@@ -78,7 +78,7 @@
         let now = self.state.now();
         let me = self.state.own_entry.incarnation;
         let mut cluster = self.state.cluster();
-        cluster.record_source_state(now, me, SourceState::Able);
+        cluster.record_source_health(now, me, SourceState::Able);
         drop(cluster);
         self.back();
     }
@@ -100,7 +100,7 @@
         let now = self.state.now();
         let me = self.state.own_entry.incarnation;
         let mut cluster = self.state.cluster();
-        cluster.record_source_state(now, me, SourceState::StoreAway);
+        cluster.record_source_health(now, me, SourceState::StoreAway);
         drop(cluster);
         // The store may turn just this instance away while another hears it.
         if self.state.news_source() == NewsSource::Store {
--- a/crates/gateway/src/store_proof.rs
+++ b/crates/gateway/src/store_proof.rs
@@ -41,7 +41,7 @@
             let follows = state.news_source() != NewsSource::Store;
             // Proof of nothing is worth nothing: of a fleet that starts at once all
             // would ask several times a second beside reading.
-            if follows || !state.has_read_store() {
+            if follows || !state.store_loaded() {
                 failures = 0;
                 continue;
             }
--- a/crates/gateway/tests/whole/fakes/fake_dialect.rs
+++ b/crates/gateway/tests/whole/fakes/fake_dialect.rs
@@ -139,7 +139,7 @@
         Request::new(jd_net::empty())
     }
 
-    fn capacity_request(&self, _upstream: &str) -> Request<Body> {
+    fn storage_request(&self, _upstream: &str) -> Request<Body> {
         let mut req = Request::new(jd_net::empty());
         *req.uri_mut() = Uri::from_static("/room");
         req.headers_mut()
@@ -147,7 +147,7 @@
         req
     }
 
-    fn capacity_report(&self, _body: &[u8]) -> Option<jd_serving::RoomReport> {
+    fn storage_report(&self, _body: &[u8]) -> Option<jd_serving::RoomReport> {
         None
     }
 
