--- a/crates/gateway/src/crash_reporter.rs
+++ b/crates/gateway/src/crash_reporter.rs
@@ -70,11 +70,11 @@
     pub(crate) async fn run(self: Arc<Self>) {
         while let Some(run_events) = self.state.quarantine.run_events.next().await {
             match run_events {
-                RunEvent::Ran(run) => self.tell(RunReport {
+                RunEvent::Completed(run) => self.tell(RunReport {
                     completed_runs: vec![run],
                     ..RunReport::default()
                 }),
-                RunEvent::Broke {
+                RunEvent::Broken {
                     at,
                     upstream,
                     content,
@@ -87,7 +87,7 @@
     /// Says for good which suspects ran well here.
     pub(crate) async fn report_recent_runs(self: Arc<Self>) {
         loop {
-            self.state.quarantine.runs_wanted.given().await;
+            self.state.quarantine.runs_wanted.wait().await;
             let completed_runs = self.state.quarantine.recent_runs(self.state.now());
             if !completed_runs.is_empty() {
                 self.tell(RunReport {
@@ -135,7 +135,7 @@
         let runs = broken.runs.len();
         self.state.metrics.broken_runs(seen.as_str(), runs);
         log::info!(
-            upstream = upstream.upstream.as_str(),
+            upstream = upstream.id.as_str(),
             service = upstream.service.as_str(),
             runs,
             contents = contents(&broken.runs).as_str(),
@@ -146,7 +146,7 @@
             self.tell(RunReport {
                 ends: vec![UpstreamCrash {
                     service: upstream.service,
-                    upstream: upstream.upstream,
+                    upstream: upstream.id,
                     start: upstream.start,
                     at: broken.at,
                     runs: broken.runs,
@@ -160,7 +160,7 @@
         if self.see_entry(upstream) == Seen::Ended {
             return Seen::Ended;
         }
-        match self.state.gate.probe(upstream.address).await {
+        match self.state.upstream_client.probe(upstream.address).await {
             ProbeResult::Refused => Seen::Ended,
             ProbeResult::Open | ProbeResult::TimedOut => Seen::There,
         }
@@ -169,10 +169,10 @@
     /// What the list of upstreams says.
     fn see_entry(&self, upstream: &UpstreamRef) -> Seen {
         let table = self.state.upstreams.load();
-        match table.start_of(&upstream.upstream) {
+        match table.start_of(&upstream.id) {
             Some(now) if now.is_later_than(upstream.start) => Seen::Ended,
             Some(_) => Seen::There,
-            None if table.is_at(&upstream.service, upstream.address) => Seen::Ended,
+            None if table.serves_at(&upstream.service, upstream.address) => Seen::Ended,
             None => Seen::Unlisted,
         }
     }
@@ -180,7 +180,7 @@
     fn tell(self: &Arc<Self>, report: RunReport) {
         let coordinators = self.state.coordinators().into_iter().take(COORDINATORS);
         for coordinator in coordinators {
-            if coordinator == self.state.me.peer_address {
+            if coordinator == self.state.own_entry.peer_address {
                 self.coordinator.record_report(report.clone());
                 continue;
             }
--- a/crates/gateway/src/peer_client.rs
+++ b/crates/gateway/src/peer_client.rs
@@ -66,8 +66,8 @@
         loop {
             self.note_owners(&mut firsts);
             let all: Vec<InstanceEntry> = {
-                let knowledge = self.state.knowledge();
-                knowledge.instances.entries().cloned().collect()
+                let cluster = self.state.cluster();
+                cluster.instances.entries().cloned().collect()
             };
             self.state.channels.retain(&all);
             let pause = match all.is_empty() {
@@ -81,8 +81,8 @@
             }
             // What was newly heard of requests and upstreams is told at once.
             Timer::after(pause.min(BEAT_SOONEST)).await;
-            let soon = &self.state.beat_soon;
-            soon.wait(pause.saturating_sub(BEAT_SOONEST)).await;
+            let soon = &self.state.heartbeat_requested;
+            soon.wait_timeout(pause.saturating_sub(BEAT_SOONEST)).await;
         }
     }
 
@@ -210,17 +210,17 @@
     }
 
     fn address_of(&self, id: Incarnation) -> Option<SocketAddr> {
-        let knowledge = self.state.knowledge();
-        Some(knowledge.instances.entry(id)?.peer_address)
+        let cluster = self.state.cluster();
+        Some(cluster.instances.entry(id)?.peer_address)
     }
 
     /// The instances that heartbeats are exchanged with, noted as watched.
     fn watched(&self, mut all: Vec<InstanceEntry>) -> Vec<InstanceEntry> {
         let shards = self.state.watched_shards();
         let source = self.state.news_source().instance();
-        let ids = heartbeat_peers(&self.state.me, &all, &shards, source);
+        let ids = heartbeat_peers(&self.state.own_entry, &all, &shards, source);
         let now = self.state.now();
-        self.state.knowledge().instances.set_monitored(now, &ids);
+        self.state.cluster().instances.set_monitored(now, &ids);
         all.retain(|e| ids.contains(&e.incarnation));
         all
     }
@@ -229,10 +229,10 @@
         let channel = self.state.channels.channel_to(peer.peer_address);
         let mut client = GatewayClient::new(channel.clone());
         let beat = BeatRequest {
-            incarnation: self.state.me.incarnation.get(),
+            incarnation: self.state.own_entry.incarnation.get(),
             leaving: self.state.is_leaving(),
             ready: self.state.is_ready(),
-            has_read: self.state.has_read(),
+            has_read: self.state.store_loaded(),
             quarantine: peer_quarantine::wire_quarantine(&self.state.quarantine, self.state.now()),
             limits: peer_limits::wire_limits(&self.state),
         };
@@ -252,26 +252,26 @@
             .quarantine
             .apply(now, QuarantineSource::Beat, told);
         peer_limits::record(&self.state, reply.limits);
-        let mut knowledge = self.state.knowledge();
+        let mut cluster = self.state.cluster();
         // The reply was made after the beat was sent, so the question that it
         // tells of was put at that moment less its age or later.
         if let Some(proof) = reply.proof {
-            knowledge
+            cluster
                 .freshness
                 .adopt(peer_replication::proof_at(sent, proof));
         }
         for backlog in reply.backlogs {
             let wait = Duration::from_millis(u64::from(backlog.wait_ms));
             if let Some(shard) = backlog.shard {
-                knowledge
+                cluster
                     .backlogs
                     .insert(peer_stages::shard_of(shard), (now, wait));
             }
         }
         let unlisted = reply.unlisted.iter();
         for entry in unlisted.filter_map(peer_instance::instance_of) {
-            if entry.peer_address != self.state.me.peer_address {
-                knowledge.instances.add_reported(now, entry);
+            if entry.peer_address != self.state.own_entry.peer_address {
+                cluster.instances.add_reported(now, entry);
             }
         }
         let said = Heartbeat {
@@ -281,11 +281,11 @@
         };
         match Incarnation::new(reply.incarnation) {
             id if id == peer.incarnation => {
-                knowledge.instances.record_heartbeat(now, id, said);
-                knowledge.note_version(now, id, reply.version);
+                cluster.instances.record_heartbeat(now, id, said);
+                cluster.record_version(now, id, reply.version);
             }
             later => {
-                let instances = &mut knowledge.instances;
+                let instances = &mut cluster.instances;
                 instances.record_restart(now, peer.incarnation, later);
                 instances.record_heartbeat(now, later, said);
             }
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -93,8 +93,8 @@
                 next
             });
             if is_news {
-                self.runs_wanted.give();
-                self.to_tell.give();
+                self.runs_wanted.notify();
+                self.to_tell.notify();
             }
             // Suspicions are logged where they arise: there can be many.
             if is_news && t.state.phase != QuarantinePhase::Suspected {
@@ -136,7 +136,7 @@
         lock(&self.recent).record(now, service, content);
         let held = self.list.load().get(now, content);
         if held.is_some_and(|h| h.state.is_active()) {
-            self.run_events.add(RunEvent::Ran(CompletedRun {
+            self.run_events.add(RunEvent::Completed(CompletedRun {
                 service: service.into(),
                 content,
                 at: now,
--- a/crates/gateway/src/revision_poller.rs
+++ b/crates/gateway/src/revision_poller.rs
@@ -41,7 +41,7 @@
             let follows = state.news_source() != UpdateSource::Store;
             // Proof of nothing is worth nothing: of a fleet that starts at once all
             // would ask several times a second beside reading.
-            if follows || !state.has_read() {
+            if follows || !state.store_loaded() {
                 failures = 0;
                 continue;
             }
@@ -49,7 +49,7 @@
             let asking = store.revision();
             let patience = call_timeout(failures);
             match self.link.call(StoreCall::Confirm, patience, asking).await {
-                Ok(revision) if revision.era < state.knowledge().mirror.revision().era => {
+                Ok(revision) if revision.era < state.cluster().mirror.revision().era => {
                     failures = failures.saturating_add(1);
                     self.link
                         .call_failed(StoreCall::Confirm, StoreError::EraMismatch);
@@ -58,10 +58,10 @@
                     failures = 0;
                     self.link.call_succeeded();
                     state
-                        .knowledge()
+                        .cluster()
                         .freshness
                         .record_confirmation(asked, revision);
-                    state.news.notify(usize::MAX);
+                    state.changes.notify(usize::MAX);
                 }
                 Err(e) => {
                     failures = failures.saturating_add(1);
@@ -79,7 +79,7 @@
         let due = due.mul_f64(0.85 + 0.3 * fastrand::f64());
         let mut wait = due;
         loop {
-            let lost = state.proof_wanted.wait(wait).await;
+            let lost = state.proof_requested.wait_timeout(wait).await;
             match state.proof_age() {
                 Some(age) if !lost && age < due => wait = due - age,
                 _ => return,
--- a/crates/gateway/src/store_applier.rs
+++ b/crates/gateway/src/store_applier.rs
@@ -21,7 +21,7 @@
 use crate::QuarantineRecord;
 use crate::Record;
 use crate::Store;
-use crate::knowledge::KnownDeployment;
+use crate::cluster_state::ActiveDeployment;
 use crate::quarantine::QuarantineSource;
 use crate::quarantine::QuarantineUpdate;
 use crate::state::State;
@@ -83,7 +83,7 @@
             items,
             revision,
         } = news;
-        let known = self.state.knowledge().mirror.revision();
+        let known = self.state.cluster().mirror.revision();
         match whole {
             true if revision < known => {
                 log::warn!(revision:%, known:%; "reading of the store is older than what is known, and passed over");
@@ -95,12 +95,12 @@
         }
         let now = self.state.now();
         {
-            let mut knowledge = self.state.knowledge();
-            knowledge.freshness.record_applied(revision);
-            knowledge.listed_at.get_or_insert(now);
+            let mut cluster = self.state.cluster();
+            cluster.freshness.record_applied(revision);
+            cluster.instances_listed_at.get_or_insert(now);
         }
-        self.state.listed.set();
-        self.state.news.notify(usize::MAX);
+        self.state.instances_listed.set();
+        self.state.changes.notify(usize::MAX);
         true
     }
 
@@ -112,13 +112,13 @@
             }
         }
         let now = self.state.now();
-        self.state.knowledge().listed_at.get_or_insert(now);
-        self.state.listed.set();
+        self.state.cluster().instances_listed_at.get_or_insert(now);
+        self.state.instances_listed.set();
     }
 
     /// The other instances that items name.
     pub(crate) fn decode_sample(&self, items: &[StoreItem]) -> Vec<InstanceEntry> {
-        let me = &self.state.me;
+        let me = &self.state.own_entry;
         let entries = self.decode(items).into_iter();
         let entries = entries.filter_map(|(change, _)| match change {
             Change::Put(Record::Instance(entry)) if entry.peer_address != me.peer_address => {
@@ -146,7 +146,7 @@
         };
         let items = self.keep_deployment(items, revision, true);
         let changes: Vec<(Change, StoreItem)> = self.decode(&items);
-        self.state.knowledge().mirror.replace(items, revision);
+        self.state.cluster().mirror.replace(items, revision);
         let mut upstreams: Vec<UpstreamEntry> = Vec::new();
         let mut instances: Vec<Incarnation> = Vec::new();
         let mut quarantined: Vec<Content> = Vec::new();
@@ -181,24 +181,24 @@
             log::warn!(revision:%, known:%; "store was restored from a copy; what it lost is written again");
         }
         {
-            let mut knowledge = self.state.knowledge();
-            knowledge.instances.replace_listed(now, &instances, reading);
-            changed |= knowledge.upstreams.replace(now, upstreams, reading);
-            changed |= knowledge.evacuated.replace(now, evacuated, reading);
+            let mut cluster = self.state.cluster();
+            cluster.instances.replace_listed(now, &instances, reading);
+            changed |= cluster.upstreams.replace(now, upstreams, reading);
+            changed |= cluster.evacuated_zones.replace(now, evacuated, reading);
         }
         if changed {
             self.state.rebuild_upstreams();
         }
-        let is_listed = || instances.contains(&self.state.me.incarnation);
+        let is_listed = || instances.contains(&self.state.own_entry.incarnation);
         if !is_first && (reading == SnapshotKind::Restored || !is_listed()) {
-            self.state.entry_gone.give();
+            self.state.own_entry_removed.notify();
         }
         log::info!(revision:%; "store read whole");
     }
 
     fn apply_changes(&self, items: Vec<StoreItem>, revision: StoreRevision) {
         let items = self.keep_deployment(items, revision, false);
-        let items = self.state.knowledge().mirror.apply(items, revision);
+        let items = self.state.cluster().mirror.apply(items, revision);
         let now = self.state.now();
         let mut changed = false;
         let mut lines = self.upstream_lines(items.len());
@@ -206,28 +206,32 @@
             match change {
                 Change::Put(Record::Upstream(entry)) => {
                     lines.written(&entry, revision);
-                    changed |= self.state.knowledge().upstreams.put(now, entry);
+                    changed |= self.state.cluster().upstreams.put(now, entry);
                 }
                 Change::Put(Record::EvacuatedZone(zone)) => {
                     log::info!(zone:% = zone, revision:%; "zone evacuated: nothing new goes to its upstreams");
-                    changed |= self.state.knowledge().evacuated.evacuate(zone);
+                    changed |= self.state.cluster().evacuated_zones.evacuate(zone);
                 }
                 Change::EvacuationEnded(zone) => {
                     log::info!(zone:% = zone, revision:%; "zone taken back");
-                    changed |= self.state.knowledge().evacuated.end_evacuation(now, &zone);
+                    changed |= self
+                        .state
+                        .cluster()
+                        .evacuated_zones
+                        .end_evacuation(now, &zone);
                 }
                 Change::Put(record) => self.take_record(record, &item),
                 Change::UpstreamRemoved(id) => {
                     lines.removed(&id, revision);
-                    changed |= self.state.knowledge().upstreams.remove(now, &id);
+                    changed |= self.state.cluster().upstreams.remove(now, &id);
                 }
                 Change::UpstreamUnreadable { id, reason } => {
                     changed |= self.leave_out(&id, &reason, item.revision);
                 }
-                Change::InstanceRemoved(id) if id == self.state.me.incarnation => {
-                    self.state.entry_gone.give();
+                Change::InstanceRemoved(id) if id == self.state.own_entry.incarnation => {
+                    self.state.own_entry_removed.notify();
                 }
-                Change::InstanceRemoved(id) => self.state.knowledge().instances.unlist(id),
+                Change::InstanceRemoved(id) => self.state.cluster().instances.unlist(id),
                 Change::QuarantineRemoved(content) => {
                     self.state.quarantine.set_stored(content, None)
                 }
@@ -259,7 +263,7 @@
             written:%;
             "entry names no upstream; its own writer has to write it again"
         );
-        self.state.knowledge().upstreams.discard(id)
+        self.state.cluster().upstreams.discard(id)
     }
 
     /// The items with the configuration in force here in the place of an older one, and of
@@ -273,7 +277,7 @@
         revision: StoreRevision,
         whole: bool,
     ) -> Vec<StoreItem> {
-        let Some(known) = self.state.knowledge().deployment.clone() else {
+        let Some(known) = self.state.cluster().deployment.clone() else {
             return items;
         };
         let mut is_missing = whole;
@@ -324,22 +328,22 @@
     fn take_record(&self, record: Record, item: &StoreItem) {
         match record {
             Record::Deployment(deployment) => self.take_newer_deployment(*deployment, item),
-            Record::Instance(entry) if entry.incarnation == self.state.me.incarnation => {}
-            Record::Instance(entry) if entry.peer_address == self.state.me.peer_address => {
-                let mut knowledge = self.state.knowledge();
-                knowledge.earlier_starts.push(entry.incarnation);
+            Record::Instance(entry) if entry.incarnation == self.state.own_entry.incarnation => {}
+            Record::Instance(entry) if entry.peer_address == self.state.own_entry.peer_address => {
+                let mut cluster = self.state.cluster();
+                cluster.previous_incarnations.push(entry.incarnation);
             }
             Record::Instance(entry) => {
                 let now = self.state.now();
-                let mut knowledge = self.state.knowledge();
-                knowledge.instances.put(now, entry, item.revision);
+                let mut cluster = self.state.cluster();
+                cluster.instances.put(now, entry, item.revision);
             }
             Record::Upstream(entry) => {
                 let now = self.state.now();
-                self.state.knowledge().upstreams.put(now, entry);
+                self.state.cluster().upstreams.put(now, entry);
             }
             Record::EvacuatedZone(zone) => {
-                self.state.knowledge().evacuated.evacuate(zone);
+                self.state.cluster().evacuated_zones.evacuate(zone);
             }
             Record::Quarantine(record) => self.take_quarantine(record),
             Record::Unreadable { key, reason } => {
@@ -353,8 +357,8 @@
     /// one that was written later is.
     fn take_newer_deployment(&self, deployment: Deployment, item: &StoreItem) {
         let version = deployment.version;
-        let mut knowledge = self.state.knowledge();
-        let is_newer = match &knowledge.deployment {
+        let mut cluster = self.state.cluster();
+        let is_newer = match &cluster.deployment {
             None => true,
             Some(known) if version == known.version => {
                 let later = item.revision > known.item.revision;
@@ -366,12 +370,12 @@
             return;
         }
         let item = item.clone();
-        knowledge.deployment = Some(KnownDeployment { version, item });
-        knowledge.ahead = None;
+        cluster.deployment = Some(ActiveDeployment { version, item });
+        cluster.newer_peer = None;
         let router = Router::new(deployment);
         self.state.router.store(Some(Arc::new(router)));
-        drop(knowledge);
-        self.state.divide_upstreams();
+        drop(cluster);
+        self.state.rebuild_shards();
         log::info!(version; "configuration in force");
     }
 }
--- a/crates/gateway/src/store_link.rs
+++ b/crates/gateway/src/store_link.rs
@@ -76,20 +76,20 @@
     /// The store answered this instance.
     pub(crate) fn call_succeeded(&self) {
         let now = self.state.now();
-        let me = self.state.me.incarnation;
-        let mut knowledge = self.state.knowledge();
-        knowledge.note_source(now, me, SourceHealth::Available);
-        drop(knowledge);
+        let me = self.state.own_entry.incarnation;
+        let mut cluster = self.state.cluster();
+        cluster.record_source_health(now, me, SourceHealth::Available);
+        drop(cluster);
         self.mark_available();
     }
 
     /// The store answers, this instance or the one that it follows.
     pub(crate) fn mark_available(&self) {
         let now = self.state.now();
-        let back = self.state.knowledge().upstreams.mark_store_available(now);
+        let back = self.state.cluster().upstreams.mark_store_available(now);
         if back {
-            self.state.store_back.give();
-            self.state.news.notify(usize::MAX);
+            self.state.store_recovered.notify();
+            self.state.changes.notify(usize::MAX);
             log::info!("store answers again");
         }
     }
@@ -98,10 +98,10 @@
     pub(crate) fn call_failed(&self, kind: StoreCall, e: StoreError) {
         log::warn!(call = kind.as_str(), error:% = e; "store call failed");
         let now = self.state.now();
-        let me = self.state.me.incarnation;
-        let mut knowledge = self.state.knowledge();
-        knowledge.note_source(now, me, SourceHealth::StoreUnavailable);
-        drop(knowledge);
+        let me = self.state.own_entry.incarnation;
+        let mut cluster = self.state.cluster();
+        cluster.record_source_health(now, me, SourceHealth::StoreUnavailable);
+        drop(cluster);
         // The store may turn just this instance away while another hears it.
         if self.state.news_source() == UpdateSource::Store {
             self.mark_unavailable();
@@ -110,14 +110,14 @@
 
     /// Nobody from whom this instance could hear has the store.
     pub(crate) fn mark_unavailable(&self) {
-        let mut knowledge = self.state.knowledge();
-        if knowledge.upstreams.is_store_unavailable() {
+        let mut cluster = self.state.cluster();
+        if cluster.upstreams.is_store_unavailable() {
             return;
         }
-        knowledge.upstreams.mark_store_unavailable();
-        drop(knowledge);
+        cluster.upstreams.mark_store_unavailable();
+        drop(cluster);
         log::warn!("store away; what is known stays in use");
-        self.state.proof_wanted.give();
-        self.state.news.notify(usize::MAX);
+        self.state.proof_requested.notify();
+        self.state.changes.notify(usize::MAX);
     }
 }
--- a/crates/gateway/src/store_reader.rs
+++ b/crates/gateway/src/store_reader.rs
@@ -46,7 +46,7 @@
             return Err(StoreError::EraMismatch);
         }
         state
-            .knowledge()
+            .cluster()
             .freshness
             .record_confirmation(asked, revision);
         Ok(())
@@ -65,7 +65,7 @@
         &self,
         patience: Duration,
     ) -> Result<Vec<InstanceEntry>, StoreError> {
-        let bits = self.link.state.me.incarnation.get() >> 60;
+        let bits = self.link.state.own_entry.incarnation.get() >> 60;
         let sample = RecordFilter::Sample(u8::try_from(bits).unwrap_or(0));
         let page = self.read_page(sample, "", patience).await?;
         Ok(self.applier.decode_sample(&page.items))
