--- a/crates/serving/src/batch_call.rs
+++ b/crates/serving/src/batch_call.rs
@@ -1,4 +1,4 @@
-//! Calls for pieces of stages.
+//! Calls to upstreams for pieces of stages, and their results.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,110 +9,109 @@
 use crate::PieceKey;
 use crate::UpstreamStart;
 
-/// A call at an upstream.
+/// Identifies a call to an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallKey(pub(crate) u64);
 
-/// One piece as an upstream is asked for it.
+/// The request for one piece, as it is sent to an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PieceRequest {
-    /// The identity of the caller's attempt.
+    /// The request id of the caller's attempt.
     pub request_id: CompactString,
-    /// What its request is.
+    /// The content of the request that the piece belongs to.
     pub content: Content,
-    /// Which piece.
+    /// The piece.
     pub key: PieceKey,
-    /// How long its request waits for it.
+    /// The time until the request's deadline.
     pub time_left: Duration,
-    /// What it works on.
+    /// The input of the piece.
     pub input: PieceInput,
 }
 
-/// What a piece works on.
+/// The input of a piece.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PieceInput {
-    /// What the caller named.
+    /// The key that the caller named.
     Caller(CompactString),
-    /// Results of earlier stages.
+    /// The handles of results of earlier stages.
     Results(Vec<CompactString>),
 }
 
-/// A call to make.
+/// A call to make, for a batch of pieces.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BatchCall {
-    /// To tell its outcome by.
+    /// Identifies the call when its result is reported.
     pub key: CallKey,
-    /// The service that does the stage.
+    /// The service that runs the stage.
     pub service: CompactString,
-    /// Pieces that wait for that service beside these.
+    /// The number of pieces that are still queued for the service.
     pub queued: usize,
-    /// Bytes of results at the upstream, those of this call included.
+    /// Bytes of results at the upstream, including those of this call.
     pub storage_used: u64,
-    /// Bytes that cross availability zones for this call, as far as is known.
+    /// Bytes that cross availability zones because of this call, as far as is known.
     pub cross_zone_bytes: u64,
-    /// The upstream's identity.
+    /// The identity of the upstream.
     pub upstream: CompactString,
-    /// Which start of it is meant.
+    /// The start of the upstream that the call is meant for.
     pub start: UpstreamStart,
-    /// Where it answers.
+    /// The address of the upstream.
     pub address: SocketAddr,
-    /// The pieces, in the order of the answers.
+    /// The pieces, in the order of their results.
     pub pieces: Vec<PieceRequest>,
-    /// How long to wait for the answer before the pieces go elsewhere.
+    /// The time-out, after which the pieces are sent to another upstream.
     pub timeout: Duration,
 }
 
-/// An upstream that is to tell how much room it has.
+/// A query for the free result storage of an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StorageQuery {
-    /// The service that it belongs to.
+    /// The service that the upstream belongs to.
     pub service: CompactString,
-    /// Its identity.
+    /// The identity of the upstream.
     pub upstream: CompactString,
-    /// Which start of it is meant.
+    /// The start of the upstream that the query is meant for.
     pub start: UpstreamStart,
-    /// Where it answers.
+    /// The address of the upstream.
     pub address: SocketAddr,
 }
 
-/// What became of one piece.
+/// The result of one piece of a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PieceResult {
-    /// Its result lies there.
+    /// The piece is done. Its result is stored at the upstream under this handle.
     Done(CompactString),
-    /// Its time had passed at its turn.
+    /// The deadline had passed before the upstream started the piece.
     Expired,
-    /// Something that it works on is gone.
+    /// One of the piece's inputs is gone.
     InputMissing,
-    /// The upstream has no room for the result.
+    /// The upstream has no storage for the result.
     StorageFull,
-    /// It failed.
+    /// The piece failed.
     Failed,
 }
 
-/// What became of a call.
+/// The result of a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallResult {
     /// One result for each piece, in order.
     Answered(Vec<PieceResult>),
-    /// The upstream was full and did nothing.
+    /// The upstream rejected the call as full, and did nothing.
     Full,
-    /// The upstream takes no more for now by its own word, and did nothing. It may be asked
-    /// again after this time.
+    /// The upstream has asked to be sent nothing for this time. Nothing was done.
     Withheld(Duration),
-    /// The upstream is another one, or not there.
+    /// The upstream cannot be reached, or another one answers at its address.
     Gone,
-    /// The connection broke; the upstream may be well and work on.
+    /// The connection broke. The upstream may be healthy and go on with the call.
     Broken,
-    /// Nothing usable came back in time.
+    /// There was no usable answer before the time-out.
     Failed,
 }
 
-/// What an upstream tells of itself when it is asked for its room.
+/// An upstream's answer to a query for its free result storage.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StorageReport {
-    /// Free bytes for results.
+    /// Bytes that are free for results.
     pub free_bytes: u64,
-    /// Which start of it answers.
+    /// The start of the upstream that answered.
     pub start: UpstreamStart,
 }
--- a/crates/serving/src/batch_upstream.rs
+++ b/crates/serving/src/batch_upstream.rs
@@ -1,4 +1,4 @@
-//! What the desk knows of one upstream that works on batches.
+//! The state that the scheduler keeps for one upstream that processes batches.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,34 +11,36 @@
 use crate::UpstreamStart;
 use crate::untracked_storage::UntrackedStorage;
 
-/// How long an upstream is left alone after a first failure; doubled with each
-/// further one. A little more than two calls.
-const BLOCK_FIRST: Duration = Duration::from_millis(700);
-/// The longest time that it is left alone.
-const BLOCK_MOST: Duration = Duration::from_millis(4_000);
-/// How long it is left alone when it was full: about a call.
-const FULL_PAUSE: Duration = Duration::from_millis(150);
-/// Beyond this many times its expected time a call counts as stuck. Calls that
-/// wait behind one of another owner take up to twice as long.
-const PATIENCE_FACTOR: f64 = 2.2;
-/// When a call that should have ended is expected to. A fifth of the shortest call.
-const OVERDUE: Duration = Duration::from_millis(30);
-/// What patience adds for networks and wakeups.
-const PATIENCE_SLACK: Duration = Duration::from_millis(120);
-
-/// An upstream that works on batches, as it is announced.
+/// How long an upstream is sent nothing after a first failure, a little more than the duration of
+/// two calls. Doubled with each further failure.
+const INITIAL_BLOCK: Duration = Duration::from_millis(700);
+/// The longest time that an upstream is sent nothing after failures.
+const MAX_BLOCK: Duration = Duration::from_millis(4_000);
+/// How long an upstream is sent nothing after it rejected a call as full: about the duration of a
+/// call.
+const FULL_BLOCK: Duration = Duration::from_millis(150);
+/// The time-out of a call, relative to its expected duration. A call that waits behind one of
+/// another owner takes up to twice as long as expected.
+const TIMEOUT_FACTOR: f64 = 2.2;
+/// How soon a call that is overdue is expected to end: a fifth of the shortest call.
+const OVERDUE_CALL_WAIT: Duration = Duration::from_millis(30);
+/// What the time-out adds for the network and for scheduling delays of the processes.
+const TIMEOUT_SLACK: Duration = Duration::from_millis(120);
+
+/// An upstream that processes batches, as it is announced.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StageUpstream {
     /// Its identity.
     pub id: CompactString,
-    /// Which start of it this is.
+    /// The start of the upstream that announced itself.
     pub start: UpstreamStart,
-    /// Where it answers.
+    /// The address that it serves.
     pub address: SocketAddr,
-    /// The availability zone that it stands in.
+    /// Its availability zone.
     pub zone: Name,
 }
 
+/// An upstream that processes batches, and its state as seen by the scheduler.
 #[derive(Debug)]
 pub(crate) struct BatchUpstream {
     pub(crate) id: CompactString,
@@ -46,13 +48,15 @@
     pub(crate) address: SocketAddr,
     pub(crate) zone: Name,
     open_calls: u32,
-    room_used: u64,
+    /// Bytes of results that the scheduler tracks, stored or in progress.
+    storage_used: u64,
+    /// When the last call is expected to end.
     busy_until: MonoTime,
-    pub(crate) others: UntrackedStorage,
+    pub(crate) untracked: UntrackedStorage,
     failures: u32,
     blocked_until: MonoTime,
-    /// Until when it takes nothing by its own word.
-    withheld_until: MonoTime,
+    /// Until when the upstream has asked to be sent nothing.
+    backoff_until: MonoTime,
 }
 
 impl BatchUpstream {
@@ -63,82 +67,86 @@
             address: announced.address,
             zone: announced.zone,
             open_calls: 0,
-            room_used: 0,
+            storage_used: 0,
             busy_until: MonoTime::ZERO,
-            others: UntrackedStorage::new(),
+            untracked: UntrackedStorage::new(),
             failures: 0,
             blocked_until: MonoTime::ZERO,
-            withheld_until: MonoTime::ZERO,
+            backoff_until: MonoTime::ZERO,
         }
     }
 
-    /// True if this is known to be another start of the upstream than the one known
-    /// here: a later one by its own word, or one elsewhere that is not an earlier one.
+    /// True if `announced` is a restart of this upstream: its start is later, or its address
+    /// differs and its start is not known to be earlier.
     pub(crate) fn is_replaced_by(&self, announced: &StageUpstream) -> bool {
-        let earlier = self.start.is_later_than(announced.start);
-        let elsewhere = self.address != announced.address;
-        announced.start.is_later_than(self.start) || (elsewhere && !earlier)
+        let is_earlier = self.start.is_later_than(announced.start);
+        let has_moved = self.address != announced.address;
+        announced.start.is_later_than(self.start) || (has_moved && !is_earlier)
     }
 
     pub(crate) fn open_calls(&self) -> u32 {
         self.open_calls
     }
 
-    /// Bytes of results that lie there or are being made, others' included.
-    pub(crate) fn room_used(&self) -> u64 {
-        self.room_used.saturating_add(self.others.taken())
+    /// Bytes of results that are stored there or in progress, including untracked ones.
+    pub(crate) fn storage_used(&self) -> u64 {
+        self.storage_used.saturating_add(self.untracked.bytes())
     }
 
-    /// The upstream told its free room, of `all`.
-    pub(crate) fn told_room(&mut self, free: Option<u64>, all: u64) {
+    /// Records the free storage that the upstream reported, out of `capacity`; `None` if it did not
+    /// answer.
+    pub(crate) fn record_free_storage(&mut self, free: Option<u64>, capacity: u64) {
         match free {
-            Some(free) => self
-                .others
-                .told(all.saturating_sub(free).saturating_sub(self.room_used)),
-            None => self.others.did_not_tell(),
+            Some(free) => self.untracked.record_bytes(
+                capacity
+                    .saturating_sub(free)
+                    .saturating_sub(self.storage_used),
+            ),
+            None => self.untracked.record_no_answer(),
         }
     }
 
-    pub(crate) fn take_room(&mut self, bytes: u64) {
-        self.room_used += bytes;
+    pub(crate) fn reserve_storage(&mut self, bytes: u64) {
+        self.storage_used += bytes;
     }
 
-    pub(crate) fn give_room(&mut self, bytes: u64) {
-        self.room_used = self.room_used.saturating_sub(bytes);
+    pub(crate) fn free_storage(&mut self, bytes: u64) {
+        self.storage_used = self.storage_used.saturating_sub(bytes);
     }
 
     pub(crate) fn is_blocked(&self, now: MonoTime) -> bool {
         now < self.blocked_until
     }
 
-    /// How much longer it takes nothing by its own word.
-    pub(crate) fn withheld_for(&self, now: MonoTime) -> Duration {
-        self.withheld_until.since(now)
+    /// For how much longer the upstream has asked to be sent nothing.
+    pub(crate) fn backoff_left(&self, now: MonoTime) -> Duration {
+        self.backoff_until.since(now)
     }
 
-    /// A call was made that should end at `until`.
-    pub(crate) fn started(&mut self, until: MonoTime) {
+    /// Records a call that is expected to end at `until`.
+    pub(crate) fn call_started(&mut self, until: MonoTime) {
         self.open_calls += 1;
         self.busy_until = until;
     }
 
-    /// How long it takes until it can take the next call, of `slots` at a time.
-    pub(crate) fn free_in(&self, now: MonoTime, slots: u32) -> Duration {
+    /// How long it takes until the upstream can take the next call, if it processes `slots` at a
+    /// time.
+    pub(crate) fn available_in(&self, now: MonoTime, slots: u32) -> Duration {
         match self.open_calls < slots {
             true => Duration::ZERO,
-            false => self.busy_until.since(now).max(OVERDUE),
+            false => self.busy_until.since(now).max(OVERDUE_CALL_WAIT),
         }
     }
 
-    /// How long to wait for a call that should take `expected`.
-    pub(crate) fn patience(&self, expected: Duration) -> Duration {
-        expected.mul_f64(PATIENCE_FACTOR) + PATIENCE_SLACK
+    /// The time-out of a call that is expected to take `expected`.
+    pub(crate) fn call_timeout(&self, expected: Duration) -> Duration {
+        expected.mul_f64(TIMEOUT_FACTOR) + TIMEOUT_SLACK
     }
 
-    /// A call ended. One that answered is trusted again at once; one that did
-    /// not is left alone for a while, so that a slow or dead upstream costs its
-    /// pieces one wait and not each of them.
-    pub(crate) fn finished(
+    /// Records the end of a call. An upstream that answered in time can be used again at once. One
+    /// that did not is sent nothing for a while, so that a slow or dead upstream delays the pieces
+    /// of one call and not those of each call.
+    pub(crate) fn call_finished(
         &mut self,
         now: MonoTime,
         took: Duration,
@@ -147,26 +155,26 @@
     ) {
         self.open_calls = self.open_calls.saturating_sub(1);
         match result {
-            CallResult::Answered(_) if took < self.patience(expected) => self.failures = 0,
+            CallResult::Answered(_) if took < self.call_timeout(expected) => self.failures = 0,
             CallResult::Answered(_) => {}
             CallResult::Full => {
-                self.blocked_until = now + FULL_PAUSE;
-                self.others.doubt();
+                self.blocked_until = now + FULL_BLOCK;
+                self.untracked.mark_unknown();
             }
             CallResult::Withheld(wait) => {
-                self.withheld_until = now + *wait;
-                self.blocked_until = self.blocked_until.max(self.withheld_until);
+                self.backoff_until = now + *wait;
+                self.blocked_until = self.blocked_until.max(self.backoff_until);
             }
-            // A broken connection says little of the upstream, which goes on with
-            // the call: it is free again when that would have ended.
+            // A broken connection says little about the upstream. It probably goes on with the
+            // call, and is available when that would have ended.
             CallResult::Broken if self.failures == 0 => {
                 self.failures = 1;
                 self.blocked_until = now + expected.saturating_sub(took);
             }
             CallResult::Gone | CallResult::Broken | CallResult::Failed => {
-                let block = BLOCK_FIRST * (1 << self.failures.min(4));
+                let block = INITIAL_BLOCK * (1 << self.failures.min(4));
                 self.failures += 1;
-                self.blocked_until = now + block.min(BLOCK_MOST);
+                self.blocked_until = now + block.min(MAX_BLOCK);
             }
         }
     }
--- a/crates/serving/src/finished_job.rs
+++ b/crates/serving/src/finished_job.rs
@@ -1,36 +1,36 @@
-//! How the stages of a request end.
+//! The outcome of a job.
 
 use std::time::Duration;
 
 use compact_str::CompactString;
 
-/// A job at the desk.
+/// Identifies a job of the scheduler.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobKey(pub(crate) u64);
 
-/// Why the stages of a request will not be done.
+/// Why the stages of a request are not run to their end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobFailure {
-    /// They would end too late; there may be room after that time.
+    /// The stages would end too late. A retry after that time may succeed.
     WouldMiss(Duration),
-    /// The time is over.
+    /// The deadline has passed, or cannot be met any more.
     TooLate,
-    /// No upstream does one of the stages.
+    /// One of the stages has no upstream.
     NoUpstream,
     /// A piece failed too often.
     PieceFailed,
-    /// Another instance fills the batches now and nothing has been done yet, or no
-    /// upstream is left here. They are to be asked for elsewhere.
+    /// Another instance has become the owner of the shard before the job was started, or a service
+    /// has no upstreams left in this shard. The stages have to be submitted elsewhere.
     Moved,
-    /// The request ends the upstreams that run it, and is kept from them for that time.
+    /// The request crashes the upstreams that run it, and is quarantined for that time.
     Quarantined(Duration),
 }
 
-/// How a job ended.
+/// A job that has ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FinishedJob {
-    /// Which job.
+    /// The job.
     pub key: JobKey,
-    /// The results that the request needs, or why there are none.
+    /// The results that the request needs, or the reason of the failure.
     pub outcome: Result<Vec<CompactString>, JobFailure>,
 }
--- a/crates/serving/src/rank.rs
+++ b/crates/serving/src/rank.rs
@@ -5,24 +5,26 @@
 use crate::JobKey;
 use crate::PieceKey;
 
-/// Whether a piece's job can still be in time.
+/// Whether the job of a piece can still meet its objective.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Feasibility {
-    /// It can.
-    InTime,
-    /// It cannot, but earlier stages have been done for it. Left behind, their
-    /// results expire, and the work has to be done twice.
-    LateBegun,
-    /// It cannot, and nothing has been done for it.
+    /// The job can be on time.
+    OnTime,
+    /// The job is late, but earlier stages of it have been done. If the piece waited behind others,
+    /// their results would expire, and the work would have to be done twice.
+    LateStarted,
+    /// The job is late, and the piece belongs to a first stage.
     Late,
 }
 
-/// The order in which pieces are served: those that can still be in time
-/// first, and among them those that have to start first.
+/// The order in which pieces are served: first those whose jobs can still be on time, and among
+/// these first those that have to start first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Rank {
-    pub(crate) chance: Feasibility,
-    pub(crate) start_by: MonoTime,
+    pub(crate) feasibility: Feasibility,
+    /// When the piece has to start for its job to be on time, plus a step for each priority below
+    /// the most urgent.
+    pub(crate) latest_start: MonoTime,
     pub(crate) job: JobKey,
     pub(crate) piece: PieceKey,
 }
@@ -30,8 +32,8 @@
 impl Feasibility {
     pub(crate) fn of(is_late: bool, is_first: bool) -> Feasibility {
         match (is_late, is_first) {
-            (false, _) => Feasibility::InTime,
-            (true, false) => Feasibility::LateBegun,
+            (false, _) => Feasibility::OnTime,
+            (true, false) => Feasibility::LateStarted,
             (true, true) => Feasibility::Late,
         }
     }
--- a/crates/serving/src/recent_runs.rs
+++ b/crates/serving/src/recent_runs.rs
@@ -1,4 +1,4 @@
-//! Requests that ran to their end lately.
+//! Recently completed runs of requests.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -9,28 +9,28 @@
 
 use crate::Content;
 
-/// How long a run that came to its end is remembered. It speaks against ends before it,
-/// and those are asked about within seconds.
-const SPEAKS_FOR: Duration = Duration::from_secs(30);
-/// Runs that are remembered: thirty seconds of 130 requests a second, twice what one of
-/// 1,100 instances has at the peak of 70,000.
-const MOST: usize = 4_096;
+/// How long a completed run is remembered. It is evidence against earlier crashes being caused by
+/// the request, and that evidence is asked for within seconds of a crash.
+const RETENTION: Duration = Duration::from_secs(30);
+/// The number of runs that are remembered: thirty seconds at 130 requests a second, which is twice
+/// the load of one of 1,100 instances at a peak of 70,000 requests a second.
+const MAX_RUNS: usize = 4_096;
 
-/// A run that ended well.
+/// A run of a request that completed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CompletedRun {
-    /// Where.
+    /// The service that ran the request.
     pub service: CompactString,
-    /// Of which request.
+    /// The content of the request.
     pub content: Content,
-    /// When it ended.
+    /// When the run completed.
     pub at: MonoTime,
 }
 
-/// Requests that ran to their end at a service lately, seen by one instance.
+/// The recently completed runs that one instance has seen.
 ///
-/// Guards against an innocent request that is sent again and again, and so was at several
-/// upstreams that ended by something else: it has run well beside.
+/// A harmless request that is sent again and again may have been at several upstreams that crashed
+/// for another reason. Its completed runs clear it of suspicion.
 #[derive(Debug, Default)]
 pub struct RecentRuns {
     last: HashMap<(CompactString, Content), MonoTime>,
@@ -38,9 +38,9 @@
 }
 
 impl RecentRuns {
-    /// A request ran to its end at a service.
+    /// Records that a service completed a run of a request.
     pub fn record(&mut self, now: MonoTime, service: &str, content: Content) {
-        while self.order.len() >= MOST
+        while self.order.len() >= MAX_RUNS
             || self.order.front().is_some_and(|(at, ..)| is_old(now, *at))
         {
             self.forget_oldest();
@@ -49,10 +49,10 @@
         self.order.push_back((now, service.into(), content));
     }
 
-    /// The last runs of a request that ended well, one for each service.
+    /// Returns the last completed run of a request at each service.
     pub fn runs_of(&self, now: MonoTime, content: Content) -> Vec<CompletedRun> {
-        let own = self.last.iter().filter(|((_, c), _)| *c == content);
-        let recent = own.filter(|(_, at)| !is_old(now, **at));
+        let matching = self.last.iter().filter(|((_, c), _)| *c == content);
+        let recent = matching.filter(|(_, at)| !is_old(now, **at));
         let runs = recent.map(|((service, _), at)| CompletedRun {
             service: service.clone(),
             content,
@@ -73,5 +73,5 @@
 }
 
 fn is_old(now: MonoTime, at: MonoTime) -> bool {
-    now.since(at) > SPEAKS_FOR
+    now.since(at) > RETENTION
 }
--- a/crates/serving/src/refused_requests.rs
+++ b/crates/serving/src/refused_requests.rs
@@ -1,4 +1,4 @@
-//! Requests that come back after a refusal.
+//! Requests that are retried after a refusal.
 
 use std::collections::HashMap;
 
@@ -7,50 +7,48 @@
 use crate::Content;
 use crate::StageJob;
 
-/// Refusals that are kept in mind. A burst of several times what the upstreams can
-/// do brings a few hundred a second, and each is kept for seconds.
-const MOST: usize = 8_192;
+/// The number of refusals that are remembered. A burst of several times the upstreams' capacity
+/// brings a few hundred refusals a second, and each is kept for seconds.
+const MAX_ENTRIES: usize = 8_192;
 
-/// Requests that were refused and may come back, known by what they are: each
-/// attempt has an identity of its own.
+/// Requests that were refused and may be retried. They are recognised by their content, since each
+/// attempt has its own request id.
 ///
-/// The load that it answers: a burst beyond what the upstreams can do. Two of three
-/// callers that are refused come back, as they are told to, and their objective
-/// counts from when they first asked. Taken for new, each was served before
-/// somebody who could still have been in time, and was late all the same: of a
-/// burst's answers one in eight.
+/// In a burst beyond the capacity of the upstreams, two of three refused callers retry, as they are
+/// told to, and their objective counts from their first attempt. If retries were treated as new
+/// requests, each would be served before one that could still be on time, and be late all the
+/// same: that was one in eight answers of a burst.
 #[derive(Debug, Default)]
 pub(crate) struct RefusedRequests {
-    refused: HashMap<Content, Refused>,
+    entries: HashMap<Content, Entry>,
 }
 
-/// When a refused request had to be done, and when nobody waits for it any more.
+/// The objective and the deadline of a refused request.
 #[derive(Debug, Clone, Copy)]
-struct Refused {
+struct Entry {
     objective: MonoTime,
     deadline: MonoTime,
 }
 
 impl RefusedRequests {
-    /// The job was refused.
-    pub(crate) fn refused(&mut self, now: MonoTime, job: &StageJob) {
-        if self.refused.len() >= MOST {
-            self.refused.retain(|_, r| r.deadline > now);
+    /// Records the refusal of a job.
+    pub(crate) fn record(&mut self, now: MonoTime, job: &StageJob) {
+        if self.entries.len() >= MAX_ENTRIES {
+            self.entries.retain(|_, r| r.deadline > now);
         }
-        if self.refused.len() >= MOST {
+        if self.entries.len() >= MAX_ENTRIES {
             return;
         }
-        let refused = Refused {
+        let entry = Entry {
             objective: self.objective(now, job),
             deadline: job.deadline,
         };
-        self.refused.insert(job.content, refused);
+        self.entries.insert(job.content, entry);
     }
 
-    /// When the job has to be done to be in time, counted from when its caller first
-    /// asked.
+    /// Returns when the job has to end to be on time, counted from the first attempt of its caller.
     pub(crate) fn objective(&self, now: MonoTime, job: &StageJob) -> MonoTime {
-        let first = self.refused.get(&job.content);
+        let first = self.entries.get(&job.content);
         let first = first.filter(|r| r.deadline > now).map(|r| r.objective);
         first.map_or(job.objective, |first| first.min(job.objective))
     }
--- a/crates/serving/src/result_storage.rs
+++ b/crates/serving/src/result_storage.rs
@@ -1,62 +1,62 @@
-//! Where results lie and how much room they take.
+//! Where results are stored, and how much storage they occupy.
 
 use std::collections::HashMap;
 
 use compact_str::CompactString;
 use jd_types::MonoTime;
 
-/// A service, one of its upstreams, and bytes there.
-type Place = (CompactString, CompactString, u64);
+/// A service, one of its upstreams, and the bytes occupied there.
+type Location = (CompactString, CompactString, u64);
 
-/// Results that lie at upstreams.
+/// The results that are stored at upstreams.
 ///
-/// Guards against upstreams without room: they refuse every piece until enough
-/// results have been given up or have expired, and work waits although engines
-/// are idle. So results are counted here, and no piece is sent where its result
-/// would not fit.
+/// An upstream without free storage rejects every piece until enough results have been released or
+/// have expired, and work waits although engines are idle. Results are therefore tracked here, and
+/// no piece is sent to an upstream where its result would not fit.
 #[derive(Debug, Default)]
 pub(crate) struct ResultStorage {
-    held: HashMap<CompactString, (Place, MonoTime)>,
+    results: HashMap<CompactString, (Location, MonoTime)>,
 }
 
 impl ResultStorage {
-    /// A result lies at an upstream of a service until it is given up or `until`.
-    pub(crate) fn put(
+    /// Adds a result that is stored at an upstream of a service until it is released, and at most
+    /// until `until`.
+    pub(crate) fn insert(
         &mut self,
         handle: CompactString,
-        place: (&CompactString, &CompactString),
+        location: (&CompactString, &CompactString),
         bytes: u64,
         until: MonoTime,
     ) {
-        let place = (place.0.clone(), place.1.clone(), bytes);
-        self.held.insert(handle, (place, until));
+        let location = (location.0.clone(), location.1.clone(), bytes);
+        self.results.insert(handle, (location, until));
     }
 
-    /// The service and the upstream where a result lies, and its size.
-    pub(crate) fn place(&self, handle: &str) -> Option<(&CompactString, &CompactString, u64)> {
-        let ((service, upstream, bytes), _) = self.held.get(handle)?;
+    /// Returns the service and the upstream where a result is stored, and its size.
+    pub(crate) fn location(&self, handle: &str) -> Option<(&CompactString, &CompactString, u64)> {
+        let ((service, upstream, bytes), _) = self.results.get(handle)?;
         Some((service, upstream, *bytes))
     }
 
-    /// A result is given up; where it lay, if that is known.
-    pub(crate) fn take(&mut self, handle: &str) -> Option<Place> {
-        self.held.remove(handle).map(|(place, _)| place)
+    /// Removes a result, and returns where it was stored, if it is tracked.
+    pub(crate) fn remove(&mut self, handle: &str) -> Option<Location> {
+        self.results.remove(handle).map(|(location, _)| location)
     }
 
-    /// Forgets the results that lie at a place; returns them.
-    pub(crate) fn lose(
+    /// Removes the results of the upstreams that match, and returns their handles.
+    pub(crate) fn remove_matching(
         &mut self,
-        is_there: impl Fn(&CompactString, &CompactString) -> bool,
+        is_match: impl Fn(&CompactString, &CompactString) -> bool,
     ) -> Vec<CompactString> {
-        let lost = self
-            .held
-            .extract_if(|_, ((service, upstream, _), _)| is_there(service, upstream));
-        lost.map(|(handle, _)| handle).collect()
+        let removed = self
+            .results
+            .extract_if(|_, ((service, upstream, _), _)| is_match(service, upstream));
+        removed.map(|(handle, _)| handle).collect()
     }
 
-    /// The places of results that have expired.
-    pub(crate) fn expire(&mut self, now: MonoTime) -> Vec<Place> {
-        let over = self.held.extract_if(|_, (_, until)| *until <= now);
-        over.map(|(_, (place, _))| place).collect()
+    /// Removes the results that have expired, and returns where they were stored.
+    pub(crate) fn remove_expired(&mut self, now: MonoTime) -> Vec<Location> {
+        let expired = self.results.extract_if(|_, (_, until)| *until <= now);
+        expired.map(|(_, (location, _))| location).collect()
     }
 }
--- a/crates/serving/src/scheduled_job.rs
+++ b/crates/serving/src/scheduled_job.rs
@@ -1,4 +1,4 @@
-//! One job at the desk.
+//! One job of the scheduler.
 
 use std::collections::HashMap;
 
@@ -10,25 +10,29 @@
 use crate::PieceRequest;
 use crate::stage_job::JobProgress;
 
-/// One job at the desk: how far it is and what went wrong with it.
+/// One job of the scheduler: its progress, and the failures so far.
 #[derive(Debug)]
 pub(crate) struct ScheduledJob {
     pub(crate) progress: JobProgress,
-    pub(crate) tries: HashMap<PieceKey, u32>,
-    pub(crate) starts_over: u32,
-    /// True if it could not be in time when it came, so that it is worked on
-    /// only beside those that can.
-    pub(crate) beside: bool,
-    pub(crate) expected: MonoTime,
+    /// How often each piece has been tried; pieces that have not failed are left out.
+    pub(crate) attempts: HashMap<PieceKey, u32>,
+    /// How often stages were run again because their results were gone.
+    pub(crate) restarts: u32,
+    /// True if the job could not be on time when it was submitted. It is served only after the
+    /// jobs that can be.
+    pub(crate) best_effort: bool,
+    /// When the job was expected to end at its submission, without the correction for bias.
+    pub(crate) expected_end: MonoTime,
 }
 
 impl ScheduledJob {
-    pub(crate) fn is_first(&self, piece: PieceKey) -> bool {
+    /// True if a piece needs no results of other stages.
+    pub(crate) fn is_first_stage(&self, piece: PieceKey) -> bool {
         self.progress.job().stages[piece.stage].after.is_empty()
     }
 
-    /// True if one of its stages is done by one of these services.
-    pub(crate) fn leads_to(&self, services: &[CompactString]) -> bool {
+    /// True if one of the job's stages is run by one of these services.
+    pub(crate) fn uses_any(&self, services: &[CompactString]) -> bool {
         let stages = self.progress.job().stages.iter();
         let mut used = stages.filter(|s| s.pieces > 0);
         used.any(|s| services.contains(&s.service))
@@ -38,9 +42,10 @@
         self.progress.job().stages[piece.stage].result_bytes
     }
 
-    pub(crate) fn order(&self, now: MonoTime, piece: PieceKey) -> PieceRequest {
+    /// The request for a piece as it is sent to an upstream.
+    pub(crate) fn piece_request(&self, now: MonoTime, piece: PieceKey) -> PieceRequest {
         let job = self.progress.job();
-        let source = match job.stages[piece.stage].after.is_empty() {
+        let input = match job.stages[piece.stage].after.is_empty() {
             true => PieceInput::Caller(job.piece_key.clone()),
             false => PieceInput::Results(self.progress.inputs(piece.stage)),
         };
@@ -49,7 +54,7 @@
             content: job.content,
             key: piece,
             time_left: job.deadline.since(now),
-            input: source,
+            input,
         }
     }
 }
--- a/crates/serving/src/scheduler_estimates.rs
+++ b/crates/serving/src/scheduler_estimates.rs
@@ -1,4 +1,4 @@
-//! What the desk expects: waits, paths and what is worth beginning.
+//! Estimates of the scheduler: waits, critical paths, and which work to delay or refuse.
 
 use std::time::Duration;
 
@@ -12,20 +12,21 @@
 use crate::scheduled_job::ScheduledJob;
 use crate::stage_job::JobProgress;
 
-/// The part of its spare time, in hundredths, by which a stage beside a longer
-/// chain is put off. Done at once, its results would take room all the while.
-const PUT_OFF_PERCENT: u32 = 60;
+/// The part of its slack, in percent, by which a stage is delayed that runs in parallel to a longer
+/// chain of stages. If the stage ran at once, its results would occupy storage until the chain
+/// ends.
+const START_DELAY_PERCENT: u32 = 60;
 
-/// The part of the time that its caller waits, in hundredths, in which a request
-/// that cannot be in time has to be expected to end. What comes later goes before
-/// it, so the backlog when it came is the least that it waits for. With a larger
-/// part as many are served, and more are held in vain.
-const LATE_WAIT_PERCENT: u32 = 30;
+/// A request that cannot be on time is accepted only if it is expected to end within this part, in
+/// percent, of the time until its deadline. Later requests that can be on time are served before
+/// it, so it waits at least for the current backlog. With a larger part, no more requests are
+/// served, and more of them wait in vain.
+const MAX_LATE_WAIT_PERCENT: u32 = 30;
 
 impl StageScheduler {
-    /// Refuses at once what cannot be in time and would wait long. Held and
-    /// refused later it would have cost the caller its time as well.
-    pub(crate) fn check_wait(
+    /// Refuses a job that cannot be on time and would wait long. A refusal after a long wait would
+    /// also have cost the caller its time.
+    pub(crate) fn check_late_wait(
         &self,
         now: MonoTime,
         progress: &JobProgress,
@@ -33,7 +34,7 @@
     ) -> Result<(), JobFailure> {
         let end = self.end_behind(now, progress, |_| true) + correction;
         let left = progress.job().deadline.since(now);
-        if end <= now + left * LATE_WAIT_PERCENT / 100 {
+        if end <= now + left * MAX_LATE_WAIT_PERCENT / 100 {
             return Ok(());
         }
         let stages = progress.job().stages.iter().filter(|s| s.pieces > 0);
@@ -42,34 +43,32 @@
         Err(JobFailure::WouldMiss(longest.unwrap_or_default()))
     }
 
-    /// How long what waits now takes to be served at the service where it waits
-    /// longest.
+    /// How long it takes to process all queued pieces, at the service with the longest wait.
     pub fn backlog(&self, now: MonoTime) -> Duration {
-        let waits = self.queues.values().map(|q| match q.waiting.is_empty() {
-            true => q.withheld_for(now),
+        let waits = self.queues.values().map(|q| match q.queued.is_empty() {
+            true => q.backoff_left(now),
             false => q.backlog(now),
         });
         waits.max().unwrap_or_default()
     }
 
-    /// When the stages of a job that comes now would be done, behind all that is
-    /// to be done for the jobs that can be in time and are as urgent.
+    /// When a job that is submitted now is expected to end, after all work for the jobs that can be
+    /// on time and are at least as urgent.
     ///
-    /// The load that it answers: a burst that is more than the upstreams can do.
-    /// Served in the order of their deadlines, all requests end just too late.
+    /// In a burst beyond the capacity of the upstreams, all requests would end just too late if
+    /// every request were accepted and they were served in the order of their deadlines.
     pub(crate) fn expected_end(&self, now: MonoTime, progress: &JobProgress) -> MonoTime {
         let priority = progress.job().priority;
-        let rival = |j: &ScheduledJob| !j.beside && j.progress.job().priority <= priority;
-        self.end_behind(now, progress, rival)
+        let competes = |j: &ScheduledJob| !j.best_effort && j.progress.job().priority <= priority;
+        self.end_behind(now, progress, competes)
     }
 
-    /// When the stages of a job would be done behind all that is to be done for the
-    /// `rivals` among the others.
+    /// When a job is expected to end, after all work for the jobs that are `competing`.
     fn end_behind(
         &self,
         now: MonoTime,
         progress: &JobProgress,
-        rivals: impl Fn(&ScheduledJob) -> bool,
+        competing: impl Fn(&ScheduledJob) -> bool,
     ) -> MonoTime {
         let spec = progress.job();
         let mut ends: Vec<MonoTime> = Vec::with_capacity(spec.stages.len());
@@ -79,9 +78,9 @@
             let queue = self.queues.get(&stage.service).filter(|_| stage.pieces > 0);
             ends.push(match queue {
                 Some(queue) => {
-                    let ahead = self.ahead(&stage.service, &rivals);
-                    let free = now + queue.time_for(now, ahead);
-                    ready.max(free) + queue.call_time(stage.pieces)
+                    let ahead = self.pieces_ahead(&stage.service, &competing);
+                    let available = now + queue.drain_time(now, ahead);
+                    ready.max(available) + queue.call_time(stage.pieces)
                 }
                 None => ready,
             });
@@ -89,55 +88,55 @@
         ends.into_iter().max().unwrap_or(now)
     }
 
-    /// Pieces of the `rivals` that no upstream was asked for yet, also those of stages
-    /// that have not begun.
-    fn ahead(&self, service: &str, rivals: impl Fn(&ScheduledJob) -> bool) -> usize {
-        let jobs = self.jobs.values().filter(|j| rivals(j));
-        jobs.map(|j| j.progress.unasked(service)).sum()
+    /// The number of unsent pieces of the `competing` jobs, including those of stages that have not
+    /// started.
+    fn pieces_ahead(&self, service: &str, competing: impl Fn(&ScheduledJob) -> bool) -> usize {
+        let jobs = self.jobs.values().filter(|j| competing(j));
+        jobs.map(|j| j.progress.unsent_pieces(service)).sum()
     }
 
-    /// How long the stages from `stage` on take, its own wait not counted and
-    /// those at later stages as they have been lately. Without these, upstreams
-    /// would be kept busy with what is in time now and late one stage later.
-    pub(crate) fn path_time(&self, progress: &JobProgress, stage: usize) -> Duration {
+    /// How long the stages from `stage` on take, including the recent mean wait at each later
+    /// stage, but not the wait at `stage` itself. Without the waits at later stages, upstreams
+    /// would be kept busy with jobs that are on time now and late one stage later.
+    pub(crate) fn critical_path(&self, progress: &JobProgress, stage: usize) -> Duration {
         let call_time = |service: &str, pieces: usize| {
             let queue = self.queues.get(service);
-            queue.map_or(Duration::ZERO, |q| q.call_time(pieces) + q.usual_wait)
+            queue.map_or(Duration::ZERO, |q| q.call_time(pieces) + q.mean_wait)
         };
         let service = &progress.job().stages[stage].service;
-        let own_wait = self.queues.get(service).map(|q| q.usual_wait);
-        let path = progress.path_time(stage, &call_time);
-        path.saturating_sub(own_wait.unwrap_or_default())
+        let own_wait = self.queues.get(service).map(|q| q.mean_wait);
+        let total = progress.critical_path(stage, &call_time);
+        total.saturating_sub(own_wait.unwrap_or_default())
     }
 
-    /// How long the stages from `stage` on take at the very least: calls for one piece,
-    /// without a wait, no slower than the operator's figures say.
-    pub(crate) fn least_time(&self, progress: &JobProgress, stage: usize) -> Duration {
+    /// The least time that the stages from `stage` on can take: calls with one piece, without
+    /// waits, and no slower than configured.
+    pub(crate) fn min_critical_path(&self, progress: &JobProgress, stage: usize) -> Duration {
         let call_time = |service: &str, _pieces: usize| {
             let queue = self.queues.get(service);
             queue.map_or(Duration::ZERO, |q| {
-                q.spec.call_time(1).mul_f64(q.pace.min(1.0))
+                q.spec.call_time(1).mul_f64(q.duration_ratio.min(1.0))
             })
         };
-        progress.path_time(stage, &call_time)
+        progress.critical_path(stage, &call_time)
     }
 
-    /// Services where more late work waits than fits into one call. Late jobs are
-    /// not begun that lead there: their results would expire before their turn.
-    pub(crate) fn clogged(&self) -> Vec<CompactString> {
-        let clogged = self.queues.iter().filter(|(_, q)| {
-            let begun = q
-                .waiting
+    /// The services where more late pieces of started jobs are queued than fit into one call. Late
+    /// jobs that use these services are not started: their results would expire while they wait.
+    pub(crate) fn congested_services(&self) -> Vec<CompactString> {
+        let congested = self.queues.iter().filter(|(_, q)| {
+            let late_started = q
+                .queued
                 .keys()
-                .filter(|r| r.chance == Feasibility::LateBegun);
-            begun.count() > q.spec.pieces
+                .filter(|r| r.feasibility == Feasibility::LateStarted);
+            late_started.count() > q.spec.pieces
         });
-        clogged.map(|(service, _)| service.clone()).collect()
+        congested.map(|(service, _)| service.clone()).collect()
     }
 
-    /// How long the pieces of a stage wait because another chain of stages of
-    /// the same job takes longer.
-    pub(crate) fn put_off(&self, key: JobKey, stage: usize) -> Duration {
+    /// How long a first stage is delayed because another chain of stages of the same job takes
+    /// longer.
+    pub(crate) fn start_delay(&self, key: JobKey, stage: usize) -> Duration {
         let call_time = |service: &str, pieces: usize| {
             let queue = self.queues.get(service);
             queue.map_or(Duration::ZERO, |q| q.call_time(pieces))
@@ -145,9 +144,9 @@
         let Some(job) = self.jobs.get(&key) else {
             return Duration::ZERO;
         };
-        let first = job.progress.job().stages[stage].after.is_empty();
-        match first && job.starts_over == 0 {
-            true => job.progress.spare_time(stage, &call_time) * PUT_OFF_PERCENT / 100,
+        let is_first = job.progress.job().stages[stage].after.is_empty();
+        match is_first && job.restarts == 0 {
+            true => job.progress.slack(stage, &call_time) * START_DELAY_PERCENT / 100,
             false => Duration::ZERO,
         }
     }
--- a/crates/serving/src/scheduler_restarts.rs
+++ b/crates/serving/src/scheduler_restarts.rs
@@ -1,4 +1,4 @@
-//! Upstreams that start again under the identity that they had.
+//! Updates of the upstreams, and upstreams that restart under the same identity.
 
 use compact_str::CompactString;
 use jd_types::MonoTime;
@@ -15,8 +15,8 @@
 use crate::stage_queue::StageQueue;
 
 impl StageScheduler {
-    /// A service's upstreams, as they are now. What is known of one stays unless it
-    /// has started again.
+    /// Replaces the upstreams of a service. The state of an upstream is kept unless the upstream
+    /// has restarted.
     pub fn set_upstreams(
         &mut self,
         now: MonoTime,
@@ -28,13 +28,13 @@
         let queue = queue.or_insert_with(|| StageQueue::new(spec));
         queue.spec = spec;
         let mut old = std::mem::take(&mut queue.upstreams);
-        let mut started_again = Vec::new();
+        let mut restarted = Vec::new();
         for announced in upstreams {
-            let same = old.iter().position(|u| u.id == announced.id);
-            let known = same.map(|n| old.swap_remove(n));
+            let index = old.iter().position(|u| u.id == announced.id);
+            let known = index.map(|n| old.swap_remove(n));
             queue.upstreams.push(match known {
                 Some(known) if known.is_replaced_by(&announced) => {
-                    started_again.push(announced.id.clone());
+                    restarted.push(announced.id.clone());
                     BatchUpstream::new(announced)
                 }
                 Some(mut known) => {
@@ -44,14 +44,14 @@
                 None => BatchUpstream::new(announced),
             });
         }
-        for upstream in started_again {
-            self.lose(now, service, &upstream);
+        for upstream in restarted {
+            self.forget_upstream_work(now, service, &upstream);
         }
     }
 
-    /// An upstream told which start of it answers; one that is later than the one
-    /// known here has lost everything of before.
-    pub(crate) fn told_start(
+    /// Records the start that an upstream reports. If it is later than the known one, the upstream
+    /// has restarted and has lost its calls and results.
+    pub(crate) fn record_start(
         &mut self,
         now: MonoTime,
         service: &str,
@@ -72,57 +72,56 @@
             address: known.address,
             zone: known.zone.clone(),
         });
-        self.lose(now, service, upstream);
+        self.forget_upstream_work(now, service, upstream);
     }
 
-    /// Everything at an upstream is gone: its open calls, and the results that lay
-    /// there. What they held is asked for again at once.
+    /// Forgets the open calls and stored results of an upstream that has restarted, and requeues
+    /// their pieces at once.
     ///
-    /// Guards against waiting for what cannot come: a call to an earlier start was
-    /// waited for until its patience ended, and a result that had lain there was
-    /// missed only by the call that was to read it, each a call's time or two.
-    fn lose(&mut self, now: MonoTime, service: &str, upstream: &str) {
-        let is_there = |s: &CompactString, u: &CompactString| s == service && u == upstream;
-        let lost = self.room.lose(|s, u| is_there(s, u));
+    /// Otherwise a call to the earlier start would last until its time-out, and a lost result would
+    /// be noticed only by the call that needs it: a delay of one or two calls each.
+    fn forget_upstream_work(&mut self, now: MonoTime, service: &str, upstream: &str) {
+        let is_at_upstream = |s: &CompactString, u: &CompactString| s == service && u == upstream;
+        let lost_results = self.storage.remove_matching(|s, u| is_at_upstream(s, u));
         let calls = self
-            .calls
-            .extract_if(|_, c| is_there(&c.service, &c.upstream));
+            .open_calls
+            .extract_if(|_, c| is_at_upstream(&c.service, &c.upstream));
         let calls: Vec<(CallKey, _)> = calls.collect();
         for (_, call) in calls {
             for (job, piece) in call.pieces {
-                self.ask_again(now, job, piece, now);
+                self.requeue(now, job, piece, now);
             }
         }
-        for (job, piece) in self.makers(&lost) {
-            self.make_again(now, job, piece);
+        for (job, piece) in self.producers(&lost_results) {
+            self.rerun_piece(now, job, piece);
         }
     }
 
-    /// The pieces whose results these are.
-    fn makers(&self, handles: &[CompactString]) -> Vec<(JobKey, PieceKey)> {
+    /// The pieces that produced these results.
+    fn producers(&self, handles: &[CompactString]) -> Vec<(JobKey, PieceKey)> {
         let jobs = self.jobs.iter();
         let pieces = jobs.flat_map(|(key, job)| {
-            let made = job.progress.makers(handles);
-            made.into_iter().map(|piece| (*key, piece))
+            let pieces = job.progress.producers(handles);
+            pieces.into_iter().map(|piece| (*key, piece))
         });
         pieces.collect()
     }
 
-    /// Has one result made again, and what works on it wait for that. Pieces that
-    /// have been asked for have most likely read it already; a call that had not
-    /// says so.
-    fn make_again(&mut self, now: MonoTime, key: JobKey, piece: PieceKey) {
+    /// Runs a piece again whose result is lost, and removes the pieces that depend on it from the
+    /// queues until it is done. If all of these have been sent, nothing is done: they have most
+    /// likely read the result already, and a call that has not reports its input as missing.
+    fn rerun_piece(&mut self, now: MonoTime, key: JobKey, piece: PieceKey) {
         let Some(job) = self.jobs.get_mut(&key) else {
             return;
         };
-        if job.progress.is_read_by_all(piece.stage) {
+        if job.progress.all_readers_sent(piece.stage) {
             return;
         }
-        let waiting = job.progress.lost(piece);
+        let dependents = job.progress.mark_lost(piece);
         for queue in self.queues.values_mut() {
-            let stale = |r: &Rank| r.job == key && waiting.contains(&r.piece.stage);
-            queue.waiting.retain(|rank, _| !stale(rank));
+            let is_stale = |r: &Rank| r.job == key && dependents.contains(&r.piece.stage);
+            queue.queued.retain(|rank, _| !is_stale(rank));
         }
-        self.ask_again(now, key, piece, now);
+        self.requeue(now, key, piece, now);
     }
 }
--- a/crates/serving/src/scheduler_results.rs
+++ b/crates/serving/src/scheduler_results.rs
@@ -1,4 +1,4 @@
-//! What calls bring, and what becomes of results.
+//! Handling of the results of calls: their storage, retries, and their release.
 
 use std::time::Duration;
 
@@ -17,79 +17,84 @@
 use crate::open_call::PendingRelease;
 use crate::rank::Rank;
 
-/// How often one piece is tried. A third failure is rarely the upstream's.
-const PIECE_TRIES: u32 = 3;
-/// How often the stages of one job start over because results were gone.
-const MAX_STARTS_OVER: u32 = 2;
-/// How long after a call began its inputs have been read. Upstreams read them
-/// first of all; a whole call's inputs take a few milliseconds on their links.
-pub(crate) const INPUTS_READ: Duration = Duration::from_millis(35);
-/// How long it is assumed that upstreams also work for another owner, after a
-/// sign of it. A call then waits behind another's, and its inputs are read when
-/// its turn comes and not at once.
-pub(crate) const SHARED_FOR: Duration = Duration::from_millis(1_500);
-/// How long a piece waits after an upstream had no room for its result.
-const ROOM_PAUSE: Duration = Duration::from_millis(60);
+/// How often one piece is tried. A third failure is rarely due to the upstream.
+const MAX_PIECE_ATTEMPTS: u32 = 3;
+/// How often stages of one job are run again because their results were gone.
+const MAX_JOB_RESTARTS: u32 = 2;
+/// How long after the start of a call its inputs have been read. Upstreams read them first, and
+/// the inputs of a whole call take a few milliseconds on their links.
+pub(crate) const INPUT_READ_TIME: Duration = Duration::from_millis(35);
+/// How long upstreams are assumed to serve another owner as well, after a sign of it. A call may
+/// then wait behind a call of the other owner, and reads its inputs only when it is processed.
+pub(crate) const SHARED_PERIOD: Duration = Duration::from_millis(1_500);
+/// How long a piece waits after an upstream had no storage for its result.
+const STORAGE_FULL_DELAY: Duration = Duration::from_millis(60);
 
 impl StageScheduler {
-    /// Counts the results of a call against the room of their upstream. One
-    /// that did not answer may have made all of them.
-    pub(crate) fn count_room(
+    /// Counts the results of a call as used storage of the upstream until `until`. A call that
+    /// broke or failed counts as a whole: the upstream may have stored all of its results.
+    pub(crate) fn record_results(
         &mut self,
         until: MonoTime,
         key: CallKey,
         call: &OpenCall,
         result: &CallResult,
     ) {
-        let place = (&call.service, &call.upstream);
-        let mut made: Vec<(CompactString, u64)> = Vec::new();
+        let location = (&call.service, &call.upstream);
+        let mut stored: Vec<(CompactString, u64)> = Vec::new();
         match result {
             CallResult::Answered(results) => {
                 for ((job, piece), result) in call.pieces.iter().zip(results) {
                     if let PieceResult::Done(handle) = result {
                         let bytes = self.jobs.get(job).map_or(0, |j| j.result_bytes(*piece));
-                        made.push((handle.clone(), bytes));
+                        stored.push((handle.clone(), bytes));
                     }
                 }
             }
             CallResult::Broken | CallResult::Failed => {
-                let unknown = format_compact!("call {}", key.0);
-                made.push((unknown, call.bytes));
+                let placeholder = format_compact!("call {}", key.0);
+                stored.push((placeholder, call.reserved_bytes));
             }
             CallResult::Full | CallResult::Withheld(_) | CallResult::Gone => {}
         }
-        let refused = match result {
+        let storage_full = match result {
             CallResult::Answered(results) => results.contains(&PieceResult::StorageFull),
             _ => false,
         };
-        let queue = self.queues.get_mut(place.0);
-        if let Some(upstream) = queue.and_then(|q| q.upstream(place.1)).filter(|_| refused) {
-            upstream.others.doubt();
+        let queue = self.queues.get_mut(location.0);
+        if let Some(upstream) = queue
+            .and_then(|q| q.upstream(location.1))
+            .filter(|_| storage_full)
+        {
+            upstream.untracked.mark_unknown();
         }
-        for (handle, bytes) in made {
-            let queue = self.queues.get_mut(place.0);
-            if let Some(upstream) = queue.and_then(|q| q.upstream(place.1)) {
-                upstream.take_room(bytes);
-                self.room.put(handle, place, bytes, until);
+        for (handle, bytes) in stored {
+            let queue = self.queues.get_mut(location.0);
+            if let Some(upstream) = queue.and_then(|q| q.upstream(location.1)) {
+                upstream.reserve_storage(bytes);
+                self.storage.insert(handle, location, bytes, until);
             }
         }
     }
 
+    /// Releases a result, to be deleted at its upstream.
     pub(crate) fn discard(&mut self, handle: CompactString) {
-        if let Some((service, upstream, bytes)) = self.room.take(&handle) {
-            self.give_room(&service, &upstream, bytes);
+        if let Some((service, upstream, bytes)) = self.storage.remove(&handle) {
+            self.free_storage(&service, &upstream, bytes);
         }
-        self.unused.push(handle);
+        self.unused_results.push(handle);
     }
 
-    pub(crate) fn give_room(&mut self, service: &str, upstream: &str, bytes: u64) {
+    /// Counts storage at an upstream as free again.
+    pub(crate) fn free_storage(&mut self, service: &str, upstream: &str, bytes: u64) {
         let queue = self.queues.get_mut(service);
         if let Some(upstream) = queue.and_then(|q| q.upstream(upstream)) {
-            upstream.give_room(bytes);
+            upstream.free_storage(bytes);
         }
     }
 
-    pub(crate) fn take_result(
+    /// Processes the result of one piece of a call.
+    pub(crate) fn handle_piece_result(
         &mut self,
         now: MonoTime,
         key: JobKey,
@@ -97,38 +102,47 @@
         result: PieceResult,
     ) {
         match result {
-            PieceResult::Done(handle) => self.take_handle(now, key, piece, handle),
+            PieceResult::Done(handle) => self.accept_result(now, key, piece, handle),
             PieceResult::Expired => self.fail(key, JobFailure::TooLate),
-            PieceResult::StorageFull => self.ask_again(now, key, piece, now + ROOM_PAUSE),
+            PieceResult::StorageFull => self.requeue(now, key, piece, now + STORAGE_FULL_DELAY),
             PieceResult::InputMissing => {
-                self.shared_until = now + SHARED_FOR;
-                self.start_over(now, key, piece);
+                self.shared_until = now + SHARED_PERIOD;
+                self.restart_inputs(now, key, piece);
             }
-            PieceResult::Failed => self.try_again(now, key, piece, now),
+            PieceResult::Failed => self.retry(now, key, piece, now),
         }
     }
 
-    fn take_handle(&mut self, now: MonoTime, key: JobKey, piece: PieceKey, handle: CompactString) {
+    /// Stores the result of a piece. If it completes its stage, releases the inputs of the stage
+    /// and starts the stages that depend on it.
+    fn accept_result(
+        &mut self,
+        now: MonoTime,
+        key: JobKey,
+        piece: PieceKey,
+        handle: CompactString,
+    ) {
         let job = self.jobs.get_mut(&key);
-        let Some(job) = job.filter(|j| j.progress.is_wanted(piece)) else {
+        let Some(job) = job.filter(|j| j.progress.is_unfinished(piece)) else {
             self.discard(handle);
             return;
         };
-        job.progress.done(piece, handle);
+        job.progress.mark_done(piece, handle);
         if job.progress.is_done(piece.stage) {
-            for read in job.progress.job().stages[piece.stage].after.clone() {
-                self.reading.push(PendingRelease {
-                    until: now,
+            for input in job.progress.job().stages[piece.stage].after.clone() {
+                self.pending_releases.push(PendingRelease {
+                    due: now,
                     job: key,
-                    stage: read,
+                    stage: input,
                 });
             }
-            self.release_read(now);
+            self.release_read_results(now);
             self.advance(now, key);
         }
     }
 
-    pub(crate) fn try_again(
+    /// Requeues a piece that failed, or fails its job after too many attempts.
+    pub(crate) fn retry(
         &mut self,
         now: MonoTime,
         key: JobKey,
@@ -138,17 +152,17 @@
         let Some(job) = self.jobs.get_mut(&key) else {
             return;
         };
-        let tries = job.tries.entry(piece).or_insert(1);
-        *tries += 1;
-        if *tries > PIECE_TRIES {
+        let attempts = job.attempts.entry(piece).or_insert(1);
+        *attempts += 1;
+        if *attempts > MAX_PIECE_ATTEMPTS {
             self.fail(key, JobFailure::PieceFailed);
             return;
         }
-        self.ask_again(now, key, piece, not_before);
+        self.requeue(now, key, piece, not_before);
     }
 
-    /// Puts a piece back that an upstream was asked for in vain.
-    pub(crate) fn ask_again(
+    /// Queues a piece again that was sent without a result.
+    pub(crate) fn requeue(
         &mut self,
         now: MonoTime,
         key: JobKey,
@@ -158,76 +172,79 @@
         let Some(job) = self.jobs.get_mut(&key) else {
             return;
         };
-        job.progress.open(piece);
-        // Its inputs may have been given up in the belief that they were read.
-        // A piece must never be asked for with only some of them.
+        job.progress.reopen(piece);
+        // Its inputs may have been released because they were assumed to have been read. A piece
+        // must never be sent with only some of its inputs.
         match job.progress.is_ready(piece.stage) {
-            // It is asked for with the others once the inputs are made again.
+            // The whole stage is queued once its inputs have been produced again.
             false => {}
-            true if job.progress.lacks_inputs(piece.stage) => self.start_over(now, key, piece),
+            true if job.progress.has_released_inputs(piece.stage) => {
+                self.restart_inputs(now, key, piece)
+            }
             true => self.enqueue(now, key, piece, not_before),
         }
     }
 
-    /// Has the results that a piece works on made again: the upstream that kept
-    /// them is gone, or they were given up too early.
-    fn start_over(&mut self, now: MonoTime, key: JobKey, piece: PieceKey) {
+    /// Runs the stages again that produce the inputs of a piece, after the upstream that stored
+    /// these is gone or they were released too early.
+    fn restart_inputs(&mut self, now: MonoTime, key: JobKey, piece: PieceKey) {
         let Some(job) = self.jobs.get_mut(&key) else {
             return;
         };
-        job.progress.open(piece);
+        job.progress.reopen(piece);
         if !job.progress.is_ready(piece.stage) {
             return;
         }
-        job.starts_over += 1;
-        if job.starts_over > MAX_STARTS_OVER {
+        job.restarts += 1;
+        if job.restarts > MAX_JOB_RESTARTS {
             self.fail(key, JobFailure::PieceFailed);
             return;
         }
-        let left = job.progress.start_over(piece.stage);
+        let remaining = job.progress.restart_inputs(piece.stage);
         for queue in self.queues.values_mut() {
-            let stale = |r: &Rank| r.job == key && r.piece.stage == piece.stage;
-            queue.waiting.retain(|rank, _| !stale(rank));
+            let is_stale = |r: &Rank| r.job == key && r.piece.stage == piece.stage;
+            queue.queued.retain(|rank, _| !is_stale(rank));
         }
-        self.release_results(left);
+        self.release_results(remaining);
         self.advance(now, key);
     }
 
-    /// Gives up results that everything that needs them has read by now, if the
-    /// room where they lie is getting scarce, or once nothing can need them
-    /// again. Given up early, a call that fails has them made again.
-    pub(crate) fn release_read(&mut self, now: MonoTime) {
-        let due = self.reading.extract_if(.., |r| r.until <= now);
+    /// Releases results that all pieces that need them have read by now, if the storage of their
+    /// upstream is low or once no piece can need them again. If a call fails after an early
+    /// release, the results have to be produced again.
+    pub(crate) fn release_read_results(&mut self, now: MonoTime) {
+        let due = self.pending_releases.extract_if(.., |r| r.due <= now);
         let due: Vec<PendingRelease> = due.collect();
-        for reading in due {
-            let Some(job) = self.jobs.get(&reading.job) else {
+        for release in due {
+            let Some(job) = self.jobs.get(&release.job) else {
                 continue;
             };
-            if !job.progress.is_read_by_all(reading.stage) {
+            if !job.progress.all_readers_sent(release.stage) {
                 continue;
             }
-            let over = job.progress.is_used_up(reading.stage);
-            if !over
+            let unneeded = job.progress.all_readers_done(release.stage);
+            if !unneeded
                 && (now < self.shared_until
-                    || !self.is_scarce(&job.progress.results_of(reading.stage)))
+                    || !self.is_storage_low(&job.progress.results_of(release.stage)))
             {
-                let until = now + INPUTS_READ;
-                self.reading.push(PendingRelease { until, ..reading });
+                let due = now + INPUT_READ_TIME;
+                self.pending_releases
+                    .push(PendingRelease { due, ..release });
                 continue;
             }
-            let job = self.jobs.get_mut(&reading.job);
-            let handles = job.map_or_else(Vec::new, |j| j.progress.read(reading.stage));
+            let job = self.jobs.get_mut(&release.job);
+            let handles = job.map_or_else(Vec::new, |j| j.progress.mark_read(release.stage));
             self.release_results(handles);
         }
     }
 
-    /// True if one of the upstreams where these results lie is short of room.
-    pub(crate) fn is_scarce(&self, handles: &[CompactString]) -> bool {
+    /// True if one of the upstreams that store these results is low on storage.
+    pub(crate) fn is_storage_low(&self, handles: &[CompactString]) -> bool {
         handles.iter().any(|handle| {
-            let place = self.room.place(handle);
-            place.is_none_or(|(service, upstream, _)| {
+            let location = self.storage.location(handle);
+            location.is_none_or(|(service, upstream, _)| {
                 let queue = self.queues.get(service);
-                queue.is_none_or(|q| q.is_scarce(upstream))
+                queue.is_none_or(|q| q.is_storage_low(upstream))
             })
         })
     }
--- a/crates/serving/src/scheduler_storage.rs
+++ b/crates/serving/src/scheduler_storage.rs
@@ -1,4 +1,4 @@
-//! Asking upstreams for their room.
+//! Queries for the free storage of upstreams.
 
 use jd_types::MonoTime;
 
@@ -7,47 +7,47 @@
 use crate::StorageReport;
 
 impl StageScheduler {
-    /// The upstreams that are to tell how much room they have.
+    /// Returns the queries for free storage that have to be sent now.
     pub fn storage_queries(&mut self, now: MonoTime) -> Vec<StorageQuery> {
-        let mut questions = Vec::new();
+        let mut queries = Vec::new();
         for (service, queue) in &mut self.queues {
             let keep = queue.spec.keep;
-            let asked = queue.upstreams.iter_mut();
-            let asked = asked.filter_map(|u| u.others.asks(now, keep).then_some(u));
-            questions.extend(asked.map(|u| StorageQuery {
+            let due = queue.upstreams.iter_mut();
+            let due = due.filter_map(|u| u.untracked.take_due_query(now, keep).then_some(u));
+            queries.extend(due.map(|u| StorageQuery {
                 service: service.clone(),
                 upstream: u.id.clone(),
                 start: u.start,
                 address: u.address,
             }));
         }
-        questions
+        queries
     }
 
-    /// What an upstream told of its room; none if it did not.
+    /// Records the answer to a query for free storage; `None` if there was none.
     pub fn record_storage_report(
         &mut self,
         now: MonoTime,
-        asked: &StorageQuery,
-        told: Option<StorageReport>,
+        query: &StorageQuery,
+        report: Option<StorageReport>,
     ) {
-        if let Some(report) = told {
-            self.told_start(now, &asked.service, &asked.upstream, report.start);
+        if let Some(report) = report {
+            self.record_start(now, &query.service, &query.upstream, report.start);
         }
-        if let Some(queue) = self.queues.get_mut(&asked.service) {
-            let all = queue.spec.room_bytes;
-            if let Some(upstream) = queue.upstream(&asked.upstream) {
-                upstream.told_room(told.map(|t| t.free_bytes), all);
+        if let Some(queue) = self.queues.get_mut(&query.service) {
+            let capacity = queue.spec.room_bytes;
+            if let Some(upstream) = queue.upstream(&query.upstream) {
+                upstream.record_free_storage(report.map(|t| t.free_bytes), capacity);
             }
         }
     }
 
-    /// This instance fills the batches from now on: results of the owner before
-    /// may lie at every upstream.
+    /// Marks the free storage of all upstreams as unknown, after this instance has become the owner
+    /// of the shard: results of the previous owner may be stored at each of them.
     pub fn take_over(&mut self) {
         for queue in self.queues.values_mut() {
             for upstream in &mut queue.upstreams {
-                upstream.others.doubt();
+                upstream.untracked.mark_unknown();
             }
         }
     }
--- a/crates/serving/src/shard_owners.rs
+++ b/crates/serving/src/shard_owners.rs
@@ -1,4 +1,4 @@
-//! Which instance fills the batches of a shard.
+//! The instances that own a shard, in order of preference.
 
 use std::cmp::Reverse;
 
@@ -9,50 +9,49 @@
 use crate::InstanceEntry;
 use crate::Shard;
 
-/// What an instance can carry beside its own callers, as a step of a scale on
-/// which each step is a doubling.
+/// The capacity of an instance for work beside that of its own callers, on a logarithmic scale:
+/// each step is a doubling.
 ///
-/// The load that it answers: a fleet has a few instances with many times the
-/// processor and the link of the others. An owner of batches on one of the
-/// others is late for everybody.
+/// A fleet may have a few instances with many times the processor time and the bandwidth of the
+/// others. If one of the others owned a shard, its requests would be late for all callers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Strength(u32);
 
 impl Strength {
-    /// The strength of an instance with this part of a core, in hundredths, and
-    /// this link. The scarcer of the two decides.
+    /// The strength of an instance with this part of a core, in percent, and this bandwidth. The
+    /// smaller of the two numbers decides.
     pub fn new(core_percent: u32, link_mbps: u32) -> Strength {
-        let scarcer = core_percent.min(link_mbps).max(1);
-        Strength(scarcer.ilog2())
+        let limiting = core_percent.min(link_mbps).max(1);
+        Strength(limiting.ilog2())
     }
 
-    /// The step as a number.
+    /// The step on the scale.
     pub fn step(self) -> u32 {
         self.0
     }
 
-    /// The strength of that step.
+    /// The strength at a step of the scale.
     pub fn from_step(step: u32) -> Strength {
         Strength(step)
     }
 }
 
-/// The first `most` instances in the order in which they are asked to run the stages of
-/// a request of `shard`: the strongest first, of these the ones in the shard's own
-/// zone, and then by rendezvous hashing of their addresses, so that all instances
-/// agree without a message, and the loss of one moves only what it had.
+/// Returns the first `limit` instances in the order in which they are asked to run the stages of a
+/// request of `shard`: the strongest first, among these the ones in the shard's zone, and then by
+/// rendezvous hashing of their addresses. All instances so agree on the owner without messages, and
+/// the loss of an instance moves only the shards that it owned.
 ///
-/// The load that it answers: all instances are killed and start anew at once. By
-/// their identities, new at each start, every instance ranked a mixture of dead
-/// and new ones, each its own, and six of nine filled batches for three seconds.
-/// An address outlives a start, so the order stays what it was before.
+/// Addresses are hashed because they outlive a restart, so that the order stays the same. When all
+/// instances were killed and restarted at once, and their identities were hashed, which are new at
+/// each start, every instance ranked its own mixture of dead and new instances, and six of nine
+/// instances acted as owners for three seconds.
 ///
-/// No lease is needed. Two owners for a moment fill smaller batches; no piece
-/// does harm when it is done twice.
+/// No lease is needed: two owners at a time only fill smaller batches, and a piece that is run
+/// twice does no harm.
 pub fn rank_owners<'a>(
     shard: &Shard,
     instances: impl Iterator<Item = &'a InstanceEntry>,
-    most: usize,
+    limit: usize,
 ) -> Vec<&'a InstanceEntry> {
     let hash = shard.hash();
     let far = |zone: &Name| shard.zone.as_ref().is_some_and(|z| z != zone);
@@ -65,10 +64,10 @@
     let order = |(strength, far, rank, e): &(_, _, _, &InstanceEntry)| {
         (*strength, *far, *rank, e.incarnation)
     };
-    // Asked for often, of all instances, for the first few of them.
-    if most < ranked.len() {
-        ranked.select_nth_unstable_by_key(most, order);
-        ranked.truncate(most);
+    // Called often and over all instances, mostly for the first few: avoid sorting all of them.
+    if limit < ranked.len() {
+        ranked.select_nth_unstable_by_key(limit, order);
+        ranked.truncate(limit);
     }
     ranked.sort_unstable_by_key(order);
     ranked.into_iter().map(|(_, _, _, e)| e).collect()
--- a/crates/serving/src/snapshot_kind.rs
+++ b/crates/serving/src/snapshot_kind.rs
@@ -1,11 +1,11 @@
-//! What a whole reading of the store may lack.
+//! What a full snapshot of the store may lack.
 
-/// What a whole reading of the store may lack.
+/// What a full snapshot of the store may lack.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SnapshotKind {
-    /// Nothing that was ever acknowledged.
+    /// The snapshot includes every acknowledged write.
     Complete,
-    /// It is the first one since the store came back from an older copy: what was written
-    /// last may be gone, and what was removed may be back.
+    /// The snapshot is the first one after the store was restored from an older copy: the latest
+    /// writes may be lost, and removed entries may be back.
     Restored,
 }
--- a/crates/serving/src/stage_job.rs
+++ b/crates/serving/src/stage_job.rs
@@ -1,4 +1,4 @@
-//! The stages of one request, and how far they are.
+//! The stages of one request, and their progress.
 
 use std::time::Duration;
 
@@ -11,43 +11,43 @@
 /// One stage of a [`StageJob`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct JobStage {
-    /// The service that does it.
+    /// The service that runs it.
     pub service: CompactString,
     /// The stages whose results it needs.
     pub after: Vec<usize>,
-    /// How many pieces it has; 0 leaves it out.
+    /// The number of pieces; a stage with 0 pieces is skipped.
     pub pieces: usize,
     /// The approximate size of one result, in bytes.
     pub result_bytes: u64,
 }
 
-/// The stages of one request: everything an owner needs to run them.
+/// The stages of one request, with everything that an owner needs to run them.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StageJob {
-    /// The identity of the caller's attempt.
+    /// The request id of the caller's attempt.
     pub request_id: CompactString,
-    /// What the request is, the same for each attempt of its caller at it.
+    /// The content of the request, which is the same for each attempt of its caller.
     pub content: Content,
-    /// What first stages work on.
+    /// The key that names the input of the first stages.
     pub piece_key: CompactString,
-    /// The stages, by number.
+    /// The stages. Their positions are their numbers.
     pub stages: Vec<JobStage>,
-    /// When all of them have to be done for an answer in time.
+    /// When all stages have to be done for the request to be on time.
     pub objective: MonoTime,
-    /// After that nobody waits any more.
+    /// When the caller stops waiting.
     pub deadline: MonoTime,
-    /// 0 is the most urgent.
+    /// The priority; 0 is the most urgent.
     pub priority: u8,
-    /// The availability zone where the results are wanted.
+    /// The availability zone in which the results will be read.
     pub zone: Option<Name>,
 }
 
 impl StageJob {
-    /// Bytes of the results that the request itself works on.
+    /// Bytes of the results that the request itself needs.
     pub fn output_bytes(&self) -> u64 {
         let numbered = self.stages.iter().enumerate();
-        let last = numbered.filter(|(n, _)| !self.stages.iter().any(|s| s.after.contains(n)));
-        last.map(|(_, s)| s.result_bytes * s.pieces as u64).sum()
+        let outputs = numbered.filter(|(n, _)| !self.stages.iter().any(|s| s.after.contains(n)));
+        outputs.map(|(_, s)| s.result_bytes * s.pieces as u64).sum()
     }
 }
 
@@ -60,39 +60,39 @@
     pub piece: usize,
 }
 
-/// How far the stages of one request are.
+/// The progress of the stages of one request.
 #[derive(Debug)]
 pub(crate) struct JobProgress {
     job: StageJob,
-    results: Vec<Vec<PieceState>>,
+    pieces: Vec<Vec<PieceState>>,
     started: Vec<bool>,
 }
 
-/// How far one piece is.
+/// The state of one piece.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 enum PieceState {
-    /// It waits, or its stage has not begun.
+    /// The piece waits to be sent, or its stage has not started.
     #[default]
-    Open,
-    /// An upstream was asked for it.
+    Pending,
+    /// The piece has been sent to an upstream.
     Sent,
-    /// Its result lies there.
+    /// The piece is done, and its result is stored under this handle.
     Done(CompactString),
-    /// Its result has been read by everything that needs it.
+    /// All pieces that need the result have read it, and it is released.
     Read,
 }
 
 impl JobProgress {
     pub(crate) fn new(job: StageJob) -> JobProgress {
-        let results = job
+        let pieces = job
             .stages
             .iter()
-            .map(|s| vec![PieceState::Open; s.pieces])
+            .map(|s| vec![PieceState::Pending; s.pieces])
             .collect();
         let started = vec![false; job.stages.len()];
         JobProgress {
             job,
-            results,
+            pieces,
             started,
         }
     }
@@ -101,7 +101,8 @@
         &self.job
     }
 
-    /// Stages whose inputs are all there and that were not returned before.
+    /// Marks the stages whose inputs are all done as started, and returns them. Stages that have
+    /// been started before are left out.
     pub(crate) fn start_ready(&mut self) -> Vec<usize> {
         let ready: Vec<usize> = (0..self.job.stages.len())
             .filter(|s| !self.started[*s])
@@ -113,176 +114,183 @@
         ready
     }
 
+    /// True if all pieces of a stage are done.
     pub(crate) fn is_done(&self, stage: usize) -> bool {
-        let made = |p: &PieceState| matches!(p, PieceState::Done(_) | PieceState::Read);
-        self.results.get(stage).is_some_and(|r| r.iter().all(made))
+        let is_done = |p: &PieceState| matches!(p, PieceState::Done(_) | PieceState::Read);
+        self.pieces
+            .get(stage)
+            .is_some_and(|r| r.iter().all(is_done))
     }
 
-    /// An upstream was asked for the piece.
-    pub(crate) fn sent(&mut self, key: PieceKey) {
+    /// Records that a piece has been sent to an upstream.
+    pub(crate) fn mark_sent(&mut self, key: PieceKey) {
         self.set(key, PieceState::Sent);
     }
 
-    /// The piece has to be asked for again.
-    pub(crate) fn open(&mut self, key: PieceKey) {
-        self.set(key, PieceState::Open);
+    /// Records that a piece has to be sent again.
+    pub(crate) fn reopen(&mut self, key: PieceKey) {
+        self.set(key, PieceState::Pending);
     }
 
-    pub(crate) fn done(&mut self, key: PieceKey, handle: CompactString) {
+    /// Records the result of a piece.
+    pub(crate) fn mark_done(&mut self, key: PieceKey, handle: CompactString) {
         self.set(key, PieceState::Done(handle));
     }
 
-    /// True if nobody has been asked for the piece.
-    pub(crate) fn is_open(&self, key: PieceKey) -> bool {
-        self.state(key) == Some(&PieceState::Open)
+    /// True if the piece has not been sent, or has to be sent again.
+    pub(crate) fn is_unsent(&self, key: PieceKey) -> bool {
+        self.state(key) == Some(&PieceState::Pending)
     }
 
-    /// True if the piece's result is wanted.
-    pub(crate) fn is_wanted(&self, key: PieceKey) -> bool {
-        matches!(self.state(key), Some(PieceState::Open | PieceState::Sent))
+    /// True if the piece has no result yet.
+    pub(crate) fn is_unfinished(&self, key: PieceKey) -> bool {
+        matches!(
+            self.state(key),
+            Some(PieceState::Pending | PieceState::Sent)
+        )
     }
 
-    /// True if no upstream was asked for any piece, or all have to be asked for
-    /// again.
-    pub(crate) fn is_untouched(&self) -> bool {
-        let mut pieces = self.results.iter().flatten();
-        pieces.all(|p| *p == PieceState::Open)
-    }
-
-    /// Pieces of a service that no upstream was asked for yet.
-    pub(crate) fn unasked(&self, service: &str) -> usize {
-        let stages = self.job.stages.iter().zip(&self.results);
-        let own = stages.filter(|(s, _)| s.service == service);
-        let open = |pieces: &Vec<PieceState>| {
-            let open = pieces.iter().filter(|p| **p == PieceState::Open);
-            open.count()
+    /// True if no piece has been sent, or all of them have to be sent again.
+    pub(crate) fn is_unstarted(&self) -> bool {
+        let mut pieces = self.pieces.iter().flatten();
+        pieces.all(|p| *p == PieceState::Pending)
+    }
+
+    /// The number of pieces of a service that have not been sent.
+    pub(crate) fn unsent_pieces(&self, service: &str) -> usize {
+        let stages = self.job.stages.iter().zip(&self.pieces);
+        let of_service = stages.filter(|(s, _)| s.service == service);
+        let count_unsent = |pieces: &Vec<PieceState>| {
+            let unsent = pieces.iter().filter(|p| **p == PieceState::Pending);
+            unsent.count()
         };
-        own.map(|(_, pieces)| open(pieces)).sum()
+        of_service.map(|(_, pieces)| count_unsent(pieces)).sum()
     }
 
-    /// True if every piece that works on the results of `stage` has been asked
-    /// for, and none has to be asked for again.
-    pub(crate) fn is_read_by_all(&self, stage: usize) -> bool {
-        let asked = |s: usize| self.results[s].iter().all(|p| *p != PieceState::Open);
-        self.is_needed(stage) && self.dependents(stage).all(asked)
+    /// True if all pieces that need the results of `stage` have been sent, and none has to be sent
+    /// again.
+    pub(crate) fn all_readers_sent(&self, stage: usize) -> bool {
+        let all_sent = |s: usize| self.pieces[s].iter().all(|p| *p != PieceState::Pending);
+        self.has_dependents(stage) && self.dependents(stage).all(all_sent)
     }
 
-    /// True if every stage that works on the results of `stage` is done.
-    pub(crate) fn is_used_up(&self, stage: usize) -> bool {
+    /// True if all stages that need the results of `stage` are done.
+    pub(crate) fn all_readers_done(&self, stage: usize) -> bool {
         self.dependents(stage).all(|d| self.is_done(d))
     }
 
-    /// The results of `stage` that lie somewhere.
+    /// The results of `stage` that are stored at upstreams.
     pub(crate) fn results_of(&self, stage: usize) -> Vec<CompactString> {
-        let pieces = self.results[stage].iter();
+        let pieces = self.pieces[stage].iter();
         pieces.filter_map(PieceState::handle).collect()
     }
 
-    /// Everything that needs the results of `stage` has read them; returns them.
-    pub(crate) fn read(&mut self, stage: usize) -> Vec<CompactString> {
-        let pieces = self.results[stage].iter_mut();
+    /// Records that all pieces that need the results of `stage` have read them, and returns the
+    /// results.
+    pub(crate) fn mark_read(&mut self, stage: usize) -> Vec<CompactString> {
+        let pieces = self.pieces[stage].iter_mut();
         let read = pieces.map(|p| std::mem::replace(p, PieceState::Read));
         read.filter_map(PieceState::into_handle).collect()
     }
 
-    /// The results that `stage` works on are gone: the stages before it start
-    /// over, and what is left of it waits for them. Returns the results of
-    /// those stages that still lie somewhere.
-    pub(crate) fn start_over(&mut self, stage: usize) -> Vec<CompactString> {
+    /// Resets the stages that `stage` depends on, directly or not, because inputs are gone. Their
+    /// pieces have to be run again, and the unfinished pieces of `stage` wait for them. Returns the
+    /// results of the reset stages that are still stored.
+    pub(crate) fn restart_inputs(&mut self, stage: usize) -> Vec<CompactString> {
         self.started[stage] = false;
-        let mut left = Vec::new();
-        for before in self.job.stages[stage].after.clone() {
-            if !self.is_done(before) {
+        let mut stored = Vec::new();
+        for input_stage in self.job.stages[stage].after.clone() {
+            if !self.is_done(input_stage) {
                 continue;
             }
-            let was_read = self.results[before].contains(&PieceState::Read);
-            let pieces = self.results[before].iter_mut();
-            left.extend(
+            let was_read = self.pieces[input_stage].contains(&PieceState::Read);
+            let pieces = self.pieces[input_stage].iter_mut();
+            stored.extend(
                 pieces
                     .map(std::mem::take)
                     .filter_map(PieceState::into_handle),
             );
-            self.started[before] = false;
-            if was_read || !self.job.stages[before].after.is_empty() {
-                left.extend(self.start_over(before));
+            self.started[input_stage] = false;
+            if was_read || !self.job.stages[input_stage].after.is_empty() {
+                stored.extend(self.restart_inputs(input_stage));
             }
         }
-        left
+        stored
     }
 
-    /// True if all results that a stage works on have been made.
+    /// True if all inputs of a stage are done.
     pub(crate) fn is_ready(&self, stage: usize) -> bool {
         let mut after = self.job.stages[stage].after.iter();
         after.all(|a| self.is_done(*a))
     }
 
-    /// True if results that a stage works on have been given up.
-    pub(crate) fn lacks_inputs(&self, stage: usize) -> bool {
+    /// True if inputs of a stage have been released.
+    pub(crate) fn has_released_inputs(&self, stage: usize) -> bool {
         let mut after = self.job.stages[stage].after.iter();
-        after.any(|a| self.results[*a].contains(&PieceState::Read))
+        after.any(|a| self.pieces[*a].contains(&PieceState::Read))
     }
 
     fn state(&self, key: PieceKey) -> Option<&PieceState> {
-        self.results.get(key.stage)?.get(key.piece)
+        self.pieces.get(key.stage)?.get(key.piece)
     }
 
     fn set(&mut self, key: PieceKey, state: PieceState) {
-        let stage = self.results.get_mut(key.stage);
+        let stage = self.pieces.get_mut(key.stage);
         if let Some(slot) = stage.and_then(|r| r.get_mut(key.piece)) {
             *slot = state;
         }
     }
 
-    /// The results that a stage works on.
+    /// The inputs of a stage.
     pub(crate) fn inputs(&self, stage: usize) -> Vec<CompactString> {
         let after = self.job.stages[stage].after.iter();
         after.flat_map(|a| self.results_of(*a)).collect()
     }
 
-    /// The pieces whose results are among these.
-    pub(crate) fn makers(&self, handles: &[CompactString]) -> Vec<PieceKey> {
-        let mut makers = Vec::new();
-        for (stage, pieces) in self.results.iter().enumerate() {
+    /// The pieces that produced any of these results.
+    pub(crate) fn producers(&self, handles: &[CompactString]) -> Vec<PieceKey> {
+        let mut producers = Vec::new();
+        for (stage, pieces) in self.pieces.iter().enumerate() {
             for (piece, state) in pieces.iter().enumerate() {
                 if matches!(state, PieceState::Done(h) if handles.contains(h)) {
-                    makers.push(PieceKey { stage, piece });
+                    producers.push(PieceKey { stage, piece });
                 }
             }
         }
-        makers
+        producers
     }
 
-    /// The result of a piece is gone; returns the stages that have to wait for it
+    /// Records that the result of a piece is gone, and returns the stages that have to wait for it
     /// again.
-    pub(crate) fn lost(&mut self, piece: PieceKey) -> Vec<usize> {
-        self.open(piece);
-        let waiting: Vec<usize> = self.dependents(piece.stage).collect();
-        for stage in &waiting {
+    pub(crate) fn mark_lost(&mut self, piece: PieceKey) -> Vec<usize> {
+        self.reopen(piece);
+        let dependents: Vec<usize> = self.dependents(piece.stage).collect();
+        for stage in &dependents {
             self.started[*stage] = false;
         }
-        waiting
+        dependents
     }
 
-    /// All results that lie somewhere.
-    pub(crate) fn all(&self) -> Vec<CompactString> {
-        let results = self.results.iter().flatten();
+    /// All results that are stored at upstreams.
+    pub(crate) fn all_results(&self) -> Vec<CompactString> {
+        let results = self.pieces.iter().flatten();
         results.filter_map(PieceState::handle).collect()
     }
 
-    /// The results that no other stage works on, once all stages are done.
-    pub(crate) fn outcome(&self) -> Option<Vec<CompactString>> {
+    /// The results that no other stage reads, once all stages are done.
+    pub(crate) fn final_results(&self) -> Option<Vec<CompactString>> {
         let stages = 0..self.job.stages.len();
         if !stages.clone().all(|s| self.is_done(s)) {
             return None;
         }
-        let last = stages.filter(|s| !self.is_needed(*s));
-        let results = last.flat_map(|s| self.results[s].iter());
+        let outputs = stages.filter(|s| !self.has_dependents(*s));
+        let results = outputs.flat_map(|s| self.pieces[s].iter());
         Some(results.filter_map(PieceState::handle).collect())
     }
 
-    /// How long the stages from `stage` on take at least, by `call_time` of
-    /// each service and without waiting.
-    pub(crate) fn path_time(
+    /// The duration of the longest chain of stages that begins with `stage`. `call_time` returns
+    /// the time that a service takes for a number of pieces.
+    pub(crate) fn critical_path(
         &self,
         stage: usize,
         call_time: &impl Fn(&str, usize) -> Duration,
@@ -292,12 +300,14 @@
             0 => Duration::ZERO,
             n => call_time(&spec.service, n),
         };
-        let rest = self.dependents(stage).map(|d| self.path_time(d, call_time));
+        let rest = self
+            .dependents(stage)
+            .map(|d| self.critical_path(d, call_time));
         own + rest.max().unwrap_or(Duration::ZERO)
     }
 
-    /// The stages of the longest chain that has pieces.
-    pub(crate) fn depth(&self) -> usize {
+    /// The number of stages in the longest chain; stages without pieces do not count.
+    pub(crate) fn chain_length(&self) -> usize {
         let mut depths: Vec<usize> = Vec::with_capacity(self.job.stages.len());
         for stage in &self.job.stages {
             let before = stage.after.iter().filter_map(|a| depths.get(*a)).max();
@@ -306,27 +316,27 @@
         depths.into_iter().max().unwrap_or(0)
     }
 
-    /// How much later than the longest chain of stages `stage` may begin and
-    /// still not be the last to end.
-    pub(crate) fn spare_time(
+    /// How much later than the longest chain of stages `stage` may start without being the last to
+    /// end.
+    pub(crate) fn slack(
         &self,
         stage: usize,
         call_time: &impl Fn(&str, usize) -> Duration,
     ) -> Duration {
         let all = 0..self.job.stages.len();
-        let longest = all.map(|s| self.path_time(s, call_time)).max();
-        let own = self.path_time(stage, call_time);
+        let longest = all.map(|s| self.critical_path(s, call_time)).max();
+        let own = self.critical_path(stage, call_time);
         longest.unwrap_or_default().saturating_sub(own)
     }
 
-    /// True if another stage works on the results of `stage`.
-    pub(crate) fn is_needed(&self, stage: usize) -> bool {
+    /// True if another stage reads the results of `stage`.
+    pub(crate) fn has_dependents(&self, stage: usize) -> bool {
         self.dependents(stage).next().is_some()
     }
 
     fn dependents(&self, stage: usize) -> impl Iterator<Item = usize> {
         let all = 0..self.job.stages.len();
-        // A stage only follows earlier ones, so that this ends.
+        // A stage depends only on earlier ones, so recursion over dependents ends.
         all.filter(move |d| *d > stage && self.job.stages[*d].after.contains(&stage))
     }
 }
--- a/crates/serving/src/stage_scheduler.rs
+++ b/crates/serving/src/stage_scheduler.rs
@@ -1,4 +1,4 @@
-//! Which pieces of which requests go to which upstream, and when.
+//! The scheduler that gathers pieces of stages into calls and assigns these to upstreams.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -24,188 +24,191 @@
 use crate::refused_requests::RefusedRequests;
 use crate::result_storage::ResultStorage;
 use crate::scheduled_job::ScheduledJob;
-use crate::scheduler_results::INPUTS_READ;
-use crate::scheduler_results::SHARED_FOR;
+use crate::scheduler_results::INPUT_READ_TIME;
+use crate::scheduler_results::SHARED_PERIOD;
 use crate::stage_job::JobProgress;
 use crate::stage_queue::QueuedPiece;
 use crate::stage_queue::StageQueue;
 
-/// What a step of priority is worth in waiting. About a call of the users'
-/// stages: enough that a burst of the less urgent does not delay the more
-/// urgent, too little to starve what could still be in time.
+/// How much later a piece is ranked for each step of lower priority. About the duration of one
+/// call: enough that a burst of less urgent requests does not delay more urgent ones, and too
+/// little to starve requests that can still be on time.
 const PRIORITY_STEP: Duration = Duration::from_millis(400);
 
-/// The desk of the instance that fills batches for a deployment.
+/// Schedules the stages of all requests of a shard, on the instance that owns it.
 ///
-/// The load that it answers: a call costs a quarter of a second however little
-/// it holds, and every upstream works on one call at a time. Instances that
-/// each batch for themselves send small calls into each other's queues. Here
-/// all pieces wait in one place and are bound to an upstream only when it is
-/// free, so that calls fill by themselves as load grows.
+/// A call takes a quarter of a second however few pieces it holds, and each upstream processes
+/// one call at a time. If each instance batched on its own, all of them would send small calls
+/// into each other's queues. Here all pieces wait in one place and are assigned to an upstream
+/// only when it is free, so that calls get fuller as load grows.
 #[derive(Debug, Default)]
 pub struct StageScheduler {
     pub(crate) queues: HashMap<CompactString, StageQueue>,
     pub(crate) jobs: HashMap<JobKey, ScheduledJob>,
-    pub(crate) calls: HashMap<CallKey, OpenCall>,
-    pub(crate) ended: Vec<FinishedJob>,
-    pub(crate) unused: Vec<CompactString>,
-    pub(crate) room: ResultStorage,
-    pub(crate) reading: Vec<PendingRelease>,
-    pub(crate) expectation: EstimateBias,
-    pub(crate) returning: RefusedRequests,
+    pub(crate) open_calls: HashMap<CallKey, OpenCall>,
+    pub(crate) finished: Vec<FinishedJob>,
+    pub(crate) unused_results: Vec<CompactString>,
+    pub(crate) storage: ResultStorage,
+    pub(crate) pending_releases: Vec<PendingRelease>,
+    pub(crate) estimate_bias: EstimateBias,
+    pub(crate) refused: RefusedRequests,
     pub(crate) shared_until: MonoTime,
-    pub(crate) numbers: u64,
+    pub(crate) last_id: u64,
 }
 
 impl StageScheduler {
-    /// Takes the stages of a request in, or says at once why not.
+    /// Accepts the stages of a request, or returns at once why they are refused.
     pub fn submit(&mut self, now: MonoTime, job: StageJob) -> Result<JobKey, JobFailure> {
-        let mut used = job.stages.iter().filter(|s| s.pieces > 0);
+        let mut stages = job.stages.iter().filter(|s| s.pieces > 0);
         let is_served = |service| {
             let queue: Option<&StageQueue> = self.queues.get(service);
             queue.is_some_and(|q| !q.upstreams.is_empty())
         };
-        if !used.all(|s| is_served(&s.service)) {
+        if !stages.all(|s| is_served(&s.service)) {
             return Err(JobFailure::NoUpstream);
         }
-        // One whose deadline comes first cannot gain anything after it.
-        let objective = self.returning.objective(now, &job).min(job.deadline);
+        // A result after the deadline is of no use, also where the objective is later.
+        let objective = self.refused.objective(now, &job).min(job.deadline);
         let progress = JobProgress::new(StageJob { objective, ..job });
-        let expected = self.expected_end(now, &progress);
-        let (depth, priority) = (progress.depth(), progress.job().priority);
-        let correction = self.expectation.correction(now, depth, priority);
-        let beside = expected + correction > progress.job().objective;
-        if beside && let Err(refusal) = self.check_wait(now, &progress, correction) {
-            self.returning.refused(now, progress.job());
+        let expected_end = self.expected_end(now, &progress);
+        let (length, priority) = (progress.chain_length(), progress.job().priority);
+        let correction = self.estimate_bias.correction(now, length, priority);
+        let best_effort = expected_end + correction > progress.job().objective;
+        if best_effort && let Err(refusal) = self.check_late_wait(now, &progress, correction) {
+            self.refused.record(now, progress.job());
             return Err(refusal);
         }
-        // An owner of jobs before may still have calls at the upstreams.
-        if self.jobs.is_empty() && self.calls.is_empty() {
-            self.shared_until = now + SHARED_FOR;
+        // A previous owner of the shard may still have calls in progress at the upstreams.
+        if self.jobs.is_empty() && self.open_calls.is_empty() {
+            self.shared_until = now + SHARED_PERIOD;
         }
-        self.numbers += 1;
-        let key = JobKey(self.numbers);
+        self.last_id += 1;
+        let key = JobKey(self.last_id);
         let job = ScheduledJob {
             progress,
-            tries: HashMap::new(),
-            starts_over: 0,
-            beside,
-            expected,
+            attempts: HashMap::new(),
+            restarts: 0,
+            best_effort,
+            expected_end,
         };
         self.jobs.insert(key, job);
         self.advance(now, key);
         Ok(key)
     }
 
-    /// Nobody waits for the job any more.
+    /// Cancels a job whose caller no longer waits for it.
     pub fn cancel(&mut self, key: JobKey) {
         if let Some(job) = self.jobs.remove(&key) {
-            self.release_results(job.progress.all());
-            self.forget_pieces(key);
+            self.release_results(job.progress.all_results());
+            self.remove_queued(key);
         }
     }
 
-    /// The next call to make, if an upstream is free and pieces wait.
+    /// Returns the next call to make, if there are an available upstream and queued pieces for it.
     pub fn next_call(&mut self, now: MonoTime) -> Option<BatchCall> {
         let services: Vec<CompactString> = self.queues.keys().cloned().collect();
-        services.iter().find_map(|s| self.next_call_of(now, s))
+        services.iter().find_map(|s| self.next_call_for(now, s))
     }
 
-    /// A call came back.
+    /// Processes the result of a call.
     pub fn complete_call(&mut self, now: MonoTime, key: CallKey, result: CallResult) {
-        let Some(call) = self.calls.remove(&key) else {
+        let Some(call) = self.open_calls.remove(&key) else {
             return;
         };
         let mut keep = Duration::ZERO;
         if let Some(queue) = self.queues.get_mut(&call.service) {
             keep = queue.spec.keep;
             if let CallResult::Answered(_) = &result {
-                queue.note_call(now.since(call.began), call.planned);
+                queue.record_call(now.since(call.started_at), call.configured_time);
             }
             if let Some(upstream) = queue.upstream(&call.upstream) {
-                upstream.finished(now, now.since(call.began), call.expected, &result);
-                upstream.give_room(call.bytes);
+                upstream.call_finished(
+                    now,
+                    now.since(call.started_at),
+                    call.expected_time,
+                    &result,
+                );
+                upstream.free_storage(call.reserved_bytes);
             }
         }
-        self.count_room(now + keep, key, &call, &result);
+        self.record_results(now + keep, key, &call, &result);
         match result {
             CallResult::Answered(results) => {
                 for ((job, piece), result) in call.pieces.iter().zip(results) {
-                    self.take_result(now, *job, *piece, result);
+                    self.handle_piece_result(now, *job, *piece, result);
                 }
             }
             CallResult::Full | CallResult::Withheld(_) | CallResult::Gone => {
                 for (job, piece) in call.pieces {
-                    self.ask_again(now, job, piece, now);
+                    self.requeue(now, job, piece, now);
                 }
             }
             CallResult::Broken | CallResult::Failed => {
                 for (job, piece) in call.pieces {
-                    self.try_again(now, job, piece, now);
+                    self.retry(now, job, piece, now);
                 }
             }
         }
     }
 
-    /// Another instance fills the batches now: jobs of which nothing has been done
-    /// are to be asked for there.
+    /// Ends the jobs that have not been started with [`JobFailure::Moved`], after another instance
+    /// has become the owner of the shard and can run them.
     ///
-    /// Guards against two owners of the same upstreams, which show as calls that
-    /// are refused for want of a place and results that are gone before they are
-    /// read. Each change of the owner left a backlog of seconds behind, and with
-    /// it a second owner for as long.
+    /// A change of the owner leaves a backlog of seconds behind. If the previous owner worked
+    /// through it, two owners would send to the same upstreams for as long: upstreams would
+    /// reject calls as full, and results would be gone before they are read.
     pub fn hand_over(&mut self) {
-        let untouched = self.jobs.iter().filter(|(_, j)| j.progress.is_untouched());
-        let keys: Vec<JobKey> = untouched.map(|(key, _)| *key).collect();
+        let unstarted = self.jobs.iter().filter(|(_, j)| j.progress.is_unstarted());
+        let keys: Vec<JobKey> = unstarted.map(|(key, _)| *key).collect();
         for key in keys {
             self.fail(key, JobFailure::Moved);
         }
     }
 
-    /// Ends jobs whose time is over, and those that nobody here can do. Their pieces
-    /// would be worked on or wait in vain.
+    /// Ends jobs that are past their deadline or cannot meet it any more, and jobs that need a
+    /// service without upstreams. Also frees the storage of expired and fully read results.
     pub fn expire(&mut self, now: MonoTime) {
-        for (service, upstream, bytes) in self.room.expire(now) {
-            self.give_room(&service, &upstream, bytes);
+        for (service, upstream, bytes) in self.storage.remove_expired(now) {
+            self.free_storage(&service, &upstream, bytes);
         }
-        self.release_read(now);
-        self.move_stranded();
-        for (key, failure) in self.too_late(now) {
+        self.release_read_results(now);
+        self.fail_stranded();
+        for (key, failure) in self.overdue_jobs(now) {
             if let Some(job) = self.jobs.get(&key) {
-                self.returning.refused(now, job.progress.job());
+                self.refused.record(now, job.progress.job());
             }
             self.fail(key, failure);
         }
     }
 
-    /// The jobs whose time is over, and those with a piece that waits for a call which
-    /// cannot bring their end before that any more; how each is to end.
-    fn too_late(&self, now: MonoTime) -> BTreeMap<JobKey, JobFailure> {
-        let over = |job: &ScheduledJob| job.progress.job().deadline <= now;
-        let over = self.jobs.iter().filter(|(_, job)| over(job));
-        let over = over.map(|(key, _)| (*key, JobFailure::TooLate));
-        let worthless = self.queues.values().flat_map(|queue| {
-            let wait = queue.withheld_for(now);
+    /// Returns the jobs that are past their deadline, and those with a queued piece that can no
+    /// longer be processed in time for it, each with the failure to report.
+    fn overdue_jobs(&self, now: MonoTime) -> BTreeMap<JobKey, JobFailure> {
+        let expired = |job: &ScheduledJob| job.progress.job().deadline <= now;
+        let expired = self.jobs.iter().filter(|(_, job)| expired(job));
+        let expired = expired.map(|(key, _)| (*key, JobFailure::TooLate));
+        let too_late = self.queues.values().flat_map(|queue| {
+            let wait = queue.backoff_left(now);
             let failure = match wait.is_zero() {
                 true => JobFailure::TooLate,
                 false => JobFailure::WouldMiss(wait),
             };
-            let waiting = queue.waiting.iter();
-            let worthless = waiting.filter(move |(_, w)| w.worthless_from < now + wait);
-            worthless.map(move |(rank, _)| (rank.job, failure))
+            let queued = queue.queued.iter();
+            let too_late = queued.filter(move |(_, p)| p.latest_useful_start < now + wait);
+            too_late.map(move |(rank, _)| (rank.job, failure))
         });
-        over.chain(worthless).collect()
+        expired.chain(too_late).collect()
     }
 
-    /// Ends jobs that need a service which has no upstream here any more, so that
-    /// they are asked for where there are some.
+    /// Ends jobs that need a service which has no upstreams left in this shard, so that they are
+    /// submitted to another shard.
     ///
-    /// Guards against requests that wait until their deadline after all of a zone's
-    /// upstreams were taken out of use at once, while other zones could serve them.
-    fn move_stranded(&mut self) {
-        let emptied = self.queues.iter().filter(|(_, q)| q.upstreams.is_empty());
-        let emptied: Vec<&CompactString> = emptied.map(|(service, _)| service).collect();
-        let needs = |job: &ScheduledJob| emptied.iter().any(|s| job.progress.unasked(s) > 0);
+    /// When all upstreams of a zone are taken out of use at once, such jobs would otherwise wait
+    /// until their deadline, while other zones could serve them.
+    fn fail_stranded(&mut self) {
+        let unserved = self.queues.iter().filter(|(_, q)| q.upstreams.is_empty());
+        let unserved: Vec<&CompactString> = unserved.map(|(service, _)| service).collect();
+        let needs = |job: &ScheduledJob| unserved.iter().any(|s| job.progress.unsent_pieces(s) > 0);
         let stranded = self.jobs.iter().filter(|(_, job)| needs(job));
         let stranded: Vec<JobKey> = stranded.map(|(key, _)| *key).collect();
         for key in stranded {
@@ -213,78 +216,84 @@
         }
     }
 
-    /// Ends the jobs of requests that are kept from upstreams from now on.
-    /// `left` tells for how long.
-    pub fn fail_quarantined(&mut self, left: impl Fn(Content) -> Option<Duration>) {
-        let left = |job: &ScheduledJob| left(job.progress.job().content);
-        let kept = self.jobs.iter();
-        let kept = kept.filter_map(|(key, job)| Some((*key, left(job)?)));
-        let kept: Vec<(JobKey, Duration)> = kept.collect();
-        for (key, left) in kept {
-            self.fail(key, JobFailure::Quarantined(left));
+    /// Ends the jobs of quarantined requests. `remaining` returns for how much longer a request
+    /// is quarantined, if it is.
+    pub fn fail_quarantined(&mut self, remaining: impl Fn(Content) -> Option<Duration>) {
+        let remaining = |job: &ScheduledJob| remaining(job.progress.job().content);
+        let quarantined = self.jobs.iter();
+        let quarantined = quarantined.filter_map(|(key, job)| Some((*key, remaining(job)?)));
+        let quarantined: Vec<(JobKey, Duration)> = quarantined.collect();
+        for (key, remaining) in quarantined {
+            self.fail(key, JobFailure::Quarantined(remaining));
         }
     }
 
-    /// True if a result is counted here.
+    /// True if this scheduler tracks the storage of a result.
     pub fn holds_result(&self, handle: &str) -> bool {
-        self.room.place(handle).is_some()
+        self.storage.location(handle).is_some()
     }
 
-    /// Nobody works on these results any more.
+    /// Releases results that are no longer needed.
     pub fn release_results(&mut self, handles: Vec<CompactString>) {
         for handle in handles {
             self.discard(handle);
         }
     }
 
-    /// The jobs that ended since the last question.
+    /// Returns the jobs that have ended since the last call.
     pub fn take_finished(&mut self) -> Vec<FinishedJob> {
-        std::mem::take(&mut self.ended)
+        std::mem::take(&mut self.finished)
     }
 
-    /// Results that nobody needs any more, since the last question.
+    /// Returns the results that have become unneeded since the last call, to be deleted at their
+    /// upstreams.
     pub fn take_unused_results(&mut self) -> Vec<CompactString> {
-        std::mem::take(&mut self.unused)
+        std::mem::take(&mut self.unused_results)
     }
 
-    /// True if time alone may bring something to decide, or something is to be told.
+    /// True if the scheduler has something to report, or may have to act as time passes.
     pub fn has_pending_work(&self) -> bool {
-        let to_tell = !self.ended.is_empty() || !self.unused.is_empty();
-        let waiting = || self.queues.values().any(|q| !q.waiting.is_empty());
-        to_tell || !self.reading.is_empty() || waiting()
+        let has_news = !self.finished.is_empty() || !self.unused_results.is_empty();
+        let has_queued = || self.queues.values().any(|q| !q.queued.is_empty());
+        has_news || !self.pending_releases.is_empty() || has_queued()
     }
 
+    /// Queues the pieces of all stages of a job that have become ready, or finishes the job if all
+    /// of its stages are done.
     pub(crate) fn advance(&mut self, now: MonoTime, key: JobKey) {
         loop {
             let Some(job) = self.jobs.get_mut(&key) else {
                 return;
             };
-            if let Some(results) = job.progress.outcome() {
-                if !job.beside {
-                    let (depth, priority) = (job.progress.depth(), job.progress.job().priority);
-                    let expected = job.expected;
-                    self.expectation.record(now, expected, depth, priority);
+            if let Some(results) = job.progress.final_results() {
+                if !job.best_effort {
+                    let (length, priority) =
+                        (job.progress.chain_length(), job.progress.job().priority);
+                    let expected_end = job.expected_end;
+                    self.estimate_bias
+                        .record(now, expected_end, length, priority);
                 }
                 self.jobs.remove(&key);
                 let outcome = Ok(results);
-                self.ended.push(FinishedJob { key, outcome });
+                self.finished.push(FinishedJob { key, outcome });
                 return;
             }
             let ready = job.progress.start_ready();
             if ready.is_empty() {
                 return;
             }
-            let counted = |s: usize| (s, job.progress.job().stages[s].pieces);
-            let stages: Vec<(usize, usize)> = ready.into_iter().map(counted).collect();
+            let with_pieces = |s: usize| (s, job.progress.job().stages[s].pieces);
+            let stages: Vec<(usize, usize)> = ready.into_iter().map(with_pieces).collect();
             for (stage, pieces) in stages {
-                let begin = now + self.put_off(key, stage);
+                let not_before = now + self.start_delay(key, stage);
                 for piece in 0..pieces {
-                    self.enqueue(now, key, PieceKey { stage, piece }, begin);
+                    self.enqueue(now, key, PieceKey { stage, piece }, not_before);
                 }
             }
         }
     }
 
+    /// Adds a piece to the queue of its service, to be sent at `not_before` at the earliest.
     pub(crate) fn enqueue(
         &mut self,
         now: MonoTime,
@@ -292,113 +301,115 @@
         piece: PieceKey,
         not_before: MonoTime,
     ) {
-        let Some(job) = self.jobs.get(&key).filter(|j| j.progress.is_open(piece)) else {
+        let Some(job) = self.jobs.get(&key).filter(|j| j.progress.is_unsent(piece)) else {
             return;
         };
-        let path = self.path_time(&job.progress, piece.stage);
+        let critical_path = self.critical_path(&job.progress, piece.stage);
         let spec = job.progress.job();
-        let start_by = spec.objective.before(path);
-        let hopeless = job.beside || start_by < now;
+        let latest_start = spec.objective.before(critical_path);
+        let is_late = job.best_effort || latest_start < now;
         let rank = Rank {
-            chance: Feasibility::of(hopeless, spec.stages[piece.stage].after.is_empty()),
-            start_by: start_by + PRIORITY_STEP * u32::from(spec.priority),
+            feasibility: Feasibility::of(is_late, spec.stages[piece.stage].after.is_empty()),
+            latest_start: latest_start + PRIORITY_STEP * u32::from(spec.priority),
             job: key,
             piece,
         };
         let service = spec.stages[piece.stage].service.clone();
-        let near_wait = self.near_wait(&job.progress, piece.stage, start_by.since(now));
-        let waiting = QueuedPiece {
-            since: now,
+        let zone_wait = self.zone_wait(&job.progress, piece.stage, latest_start.since(now));
+        let queued_piece = QueuedPiece {
+            queued_at: now,
             not_before,
-            start_by,
-            worthless_from: spec
+            latest_start,
+            latest_useful_start: spec
                 .deadline
-                .before(self.least_time(&job.progress, piece.stage)),
-            zone: self.wanted_zone(job, piece.stage),
-            anywhere_from: not_before + near_wait,
+                .before(self.min_critical_path(&job.progress, piece.stage)),
+            preferred_zone: self.preferred_zone(job, piece.stage),
+            any_zone_from: not_before + zone_wait,
         };
         if let Some(queue) = self.queues.get_mut(&service) {
-            queue.waiting.insert(rank, waiting);
+            queue.queued.insert(rank, queued_piece);
         }
     }
 
-    pub(crate) fn next_call_of(&mut self, now: MonoTime, service: &str) -> Option<BatchCall> {
-        let clogged = self.clogged();
+    /// Assembles the next call for a service, and reserves storage for its results.
+    pub(crate) fn next_call_for(&mut self, now: MonoTime, service: &str) -> Option<BatchCall> {
+        let congested = self.congested_services();
         let queue = self.queues.get_mut(service)?;
-        queue.mark_late(now, &self.jobs);
-        let (upstream, ranks) = queue.next_batch(now, &self.jobs, &clogged)?;
+        queue.demote_late(now, &self.jobs);
+        let (upstream, ranks) = queue.next_batch(now, &self.jobs, &congested)?;
         let zone = queue.upstreams[upstream].zone.clone();
-        let far = ranks.iter();
-        let far = far.map(|r| self.far_bytes(r.job, r.piece.stage, &zone));
-        let far_bytes = far.sum();
+        let read_bytes = ranks.iter();
+        let read_bytes = read_bytes.map(|r| self.cross_zone_bytes(r.job, r.piece.stage, &zone));
+        let cross_zone_bytes = read_bytes.sum();
         let queue = self.queues.get_mut(service)?;
-        self.numbers += 1;
-        let key = CallKey(self.numbers);
-        let mut orders = Vec::with_capacity(ranks.len());
+        self.last_id += 1;
+        let key = CallKey(self.last_id);
+        let mut requests = Vec::with_capacity(ranks.len());
         let mut pieces = Vec::with_capacity(ranks.len());
-        let mut bytes = 0;
+        let mut reserved_bytes = 0;
         for rank in ranks {
-            if let Some(waiting) = queue.waiting.remove(&rank) {
-                queue.note_wait(&rank, now.since(waiting.since));
+            if let Some(queued_piece) = queue.queued.remove(&rank) {
+                queue.record_wait(&rank, now.since(queued_piece.queued_at));
             }
             if let Some(job) = self.jobs.get_mut(&rank.job) {
-                job.progress.sent(rank.piece);
+                job.progress.mark_sent(rank.piece);
                 for stage in job.progress.job().stages[rank.piece.stage].after.clone() {
-                    if job.progress.is_read_by_all(stage) {
-                        self.reading.push(PendingRelease {
-                            until: now + INPUTS_READ,
+                    if job.progress.all_readers_sent(stage) {
+                        self.pending_releases.push(PendingRelease {
+                            due: now + INPUT_READ_TIME,
                             job: rank.job,
                             stage,
                         });
                     }
                 }
-                orders.push(job.order(now, rank.piece));
+                requests.push(job.piece_request(now, rank.piece));
                 pieces.push((rank.job, rank.piece));
-                bytes += job.result_bytes(rank.piece);
+                reserved_bytes += job.result_bytes(rank.piece);
             }
         }
-        let planned = queue.spec.call_time(orders.len());
-        let expected = queue.call_time(orders.len());
+        let configured_time = queue.spec.call_time(requests.len());
+        let expected_time = queue.call_time(requests.len());
         let upstream = &mut queue.upstreams[upstream];
-        upstream.started(now + expected);
-        upstream.take_room(bytes);
+        upstream.call_started(now + expected_time);
+        upstream.reserve_storage(reserved_bytes);
         let call = BatchCall {
             key,
             service: service.into(),
-            queued: queue.waiting.len(),
-            storage_used: upstream.room_used(),
-            cross_zone_bytes: far_bytes,
+            queued: queue.queued.len(),
+            storage_used: upstream.storage_used(),
+            cross_zone_bytes,
             upstream: upstream.id.clone(),
             start: upstream.start,
             address: upstream.address,
-            pieces: orders,
-            timeout: upstream.patience(expected),
+            pieces: requests,
+            timeout: upstream.call_timeout(expected_time),
         };
-        let open = OpenCall {
+        let open_call = OpenCall {
             service: service.into(),
             upstream: call.upstream.clone(),
             pieces,
-            bytes,
-            began: now,
-            expected,
-            planned,
+            reserved_bytes,
+            started_at: now,
+            expected_time,
+            configured_time,
         };
-        self.calls.insert(key, open);
+        self.open_calls.insert(key, open_call);
         Some(call)
     }
 
+    /// Ends a job with a failure, and releases its results and queued pieces.
     pub(crate) fn fail(&mut self, key: JobKey, failure: JobFailure) {
         if let Some(job) = self.jobs.remove(&key) {
-            self.release_results(job.progress.all());
-            self.forget_pieces(key);
+            self.release_results(job.progress.all_results());
+            self.remove_queued(key);
             let outcome = Err(failure);
-            self.ended.push(FinishedJob { key, outcome });
+            self.finished.push(FinishedJob { key, outcome });
         }
     }
 
-    pub(crate) fn forget_pieces(&mut self, key: JobKey) {
+    pub(crate) fn remove_queued(&mut self, key: JobKey) {
         for queue in self.queues.values_mut() {
-            queue.waiting.retain(|rank, _| rank.job != key);
+            queue.queued.retain(|rank, _| rank.job != key);
         }
     }
 }
--- a/crates/serving/src/untracked_storage.rs
+++ b/crates/serving/src/untracked_storage.rs
@@ -1,131 +1,141 @@
-//! Room at an upstream that results of others take.
+//! Storage at an upstream that results of other schedulers occupy.
 
 use std::time::Duration;
 
 use jd_types::MonoTime;
 
-/// How long an upstream is left alone until it has told its room. Upstreams answer
-/// this at once, also while they work.
-const ANSWER_WITHIN: Duration = Duration::from_millis(100);
-/// How often an upstream is asked while others' results lie there. A call lasts
-/// about as long, so that each finds the room that has come free.
-const ASK_EVERY: Duration = Duration::from_millis(250);
+/// How long no calls are sent to an upstream that has been asked for its free storage and has
+/// not answered. Upstreams answer this query at once, even while they work.
+const QUERY_TIMEOUT: Duration = Duration::from_millis(100);
+/// How often an upstream is asked while untracked results may be stored there. A call takes
+/// about as long, so each call can use the storage that has been freed since the last one.
+const QUERY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What is known of the room at one upstream beside the results counted here.
+/// The storage at one upstream that is occupied by results which this scheduler does not track.
 ///
-/// The load that it answers: all instances are killed and start anew. Results of
-/// the dead lie at the upstreams for seconds, nobody can give them up, and the new
-/// owner counts none of them: for as long pieces are worked on and then refused for
-/// want of room, each call as long as one that is not. An upstream tells its room when asked, so it is asked while anything
-/// that is not counted here may lie there.
+/// After all instances are killed and restarted, results of the dead instances stay at the
+/// upstreams for seconds. Nobody can release them, and the new owner tracks none of them, so
+/// upstreams would process pieces and then reject the results for lack of storage, at the full
+/// cost of a call. An upstream reports its free storage on request, so it is polled for as long
+/// as untracked results may be stored there.
 #[derive(Debug)]
 pub(crate) struct UntrackedStorage {
-    taken: u64,
-    doubt: Doubt,
+    bytes: u64,
+    state: PollState,
 }
 
-/// Whether results of others may lie there.
+/// Whether untracked results may be stored at the upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Doubt {
-    /// They may, and nothing has been asked.
-    New,
-    /// They may, at the latest until `over`; at `ask` the upstream is asked again.
-    Watched {
-        over: MonoTime,
-        ask: MonoTime,
+enum PollState {
+    /// There may be some, and the upstream has not been asked.
+    Unknown,
+    /// There may be some until `expires_at`; the upstream is asked again at `next_query`.
+    Polling {
+        expires_at: MonoTime,
+        next_query: MonoTime,
         answered: bool,
     },
-    /// None do.
+    /// There are none.
     None,
 }
 
 impl UntrackedStorage {
     pub(crate) fn new() -> UntrackedStorage {
         UntrackedStorage {
-            taken: 0,
-            doubt: Doubt::New,
+            bytes: 0,
+            state: PollState::Unknown,
         }
     }
 
-    /// Bytes there that others' results take, as far as is known.
-    pub(crate) fn taken(&self) -> u64 {
-        self.taken
+    /// Bytes that untracked results occupy, as far as is known.
+    pub(crate) fn bytes(&self) -> u64 {
+        self.bytes
     }
 
-    /// Others' results may lie there from now on.
-    pub(crate) fn doubt(&mut self) {
-        self.doubt = Doubt::New;
+    /// Records that untracked results may be stored there from now on.
+    pub(crate) fn mark_unknown(&mut self) {
+        self.state = PollState::Unknown;
     }
 
-    /// True while it is not known whether there is any room.
+    /// True while it is not known whether there is any free storage.
     pub(crate) fn is_unknown(&self, now: MonoTime) -> bool {
-        match self.doubt {
-            Doubt::New => true,
-            Doubt::Watched { ask, answered, .. } => {
-                let asked = ask.before(ASK_EVERY);
-                !answered && now.since(asked) < ANSWER_WITHIN
+        match self.state {
+            PollState::Unknown => true,
+            PollState::Polling {
+                next_query,
+                answered,
+                ..
+            } => {
+                let asked = next_query.before(QUERY_INTERVAL);
+                !answered && now.since(asked) < QUERY_TIMEOUT
             }
-            Doubt::None => false,
+            PollState::None => false,
         }
     }
 
-    /// True if the upstream is to be asked now, which is taken as done. Its
-    /// results last for `keep`.
-    pub(crate) fn asks(&mut self, now: MonoTime, keep: Duration) -> bool {
-        let ask = now + ASK_EVERY;
-        match self.doubt {
-            Doubt::New => {
-                let over = now + keep;
-                self.taken = u64::MAX;
-                self.doubt = Doubt::Watched {
-                    over,
-                    ask,
+    /// True if the upstream has to be asked now; the query then counts as sent. Results are
+    /// kept at the upstream for `keep`.
+    pub(crate) fn take_due_query(&mut self, now: MonoTime, keep: Duration) -> bool {
+        let next_query = now + QUERY_INTERVAL;
+        match self.state {
+            PollState::Unknown => {
+                let expires_at = now + keep;
+                self.bytes = u64::MAX;
+                self.state = PollState::Polling {
+                    expires_at,
+                    next_query,
                     answered: false,
                 };
                 true
             }
-            Doubt::Watched { over, .. } if over <= now => {
-                self.taken = 0;
-                self.doubt = Doubt::None;
+            PollState::Polling { expires_at, .. } if expires_at <= now => {
+                self.bytes = 0;
+                self.state = PollState::None;
                 false
             }
-            Doubt::Watched {
-                over,
-                ask: due,
+            PollState::Polling {
+                expires_at,
+                next_query: due,
                 answered,
             } if due <= now => {
-                self.doubt = Doubt::Watched {
-                    over,
-                    ask,
+                self.state = PollState::Polling {
+                    expires_at,
+                    next_query,
                     answered,
                 };
                 true
             }
-            Doubt::Watched { .. } | Doubt::None => false,
+            PollState::Polling { .. } | PollState::None => false,
         }
     }
 
-    /// The upstream told that so many bytes there are not taken by what is counted
-    /// here, nor free. What others left there only gets less, so of two answers the
-    /// smaller counts: an older answer still has results that were given up since.
-    pub(crate) fn told(&mut self, others: u64) {
-        if let Doubt::Watched { over, ask, .. } = self.doubt {
-            self.taken = self.taken.min(others);
-            self.doubt = match self.taken {
-                0 => Doubt::None,
-                _ => Doubt::Watched {
-                    over,
-                    ask,
+    /// Records how many bytes at the upstream are neither free nor tracked here. Untracked
+    /// results only become fewer, so the smaller of two reports counts: an older report may
+    /// include results that have been released since.
+    pub(crate) fn record_bytes(&mut self, untracked: u64) {
+        if let PollState::Polling {
+            expires_at,
+            next_query,
+            ..
+        } = self.state
+        {
+            self.bytes = self.bytes.min(untracked);
+            self.state = match self.bytes {
+                0 => PollState::None,
+                _ => PollState::Polling {
+                    expires_at,
+                    next_query,
                     answered: true,
                 },
             };
         }
     }
 
-    /// The upstream did not tell. Nothing is known against it.
-    pub(crate) fn did_not_tell(&mut self) {
-        if self.taken == u64::MAX {
-            self.told(0);
+    /// Records that the upstream did not answer. Unless an earlier answer said otherwise, all
+    /// of its storage then counts as free.
+    pub(crate) fn record_no_answer(&mut self) {
+        if self.bytes == u64::MAX {
+            self.record_bytes(0);
         }
     }
 }
--- a/crates/serving/src/visit_counter.rs
+++ b/crates/serving/src/visit_counter.rs
@@ -1,9 +1,9 @@
-//! How many entries of a list were looked at.
+//! A counter of visited entries, for tests of complexity.
 
 use std::cell::Cell;
 
-/// Counts the entries of a list that were looked at, so that work shows that grows
-/// with the list and not with what changes.
+/// Counts the entries of a list that were visited, so that tests notice work that grows with the
+/// length of the list instead of the number of changes.
 #[derive(Debug, Default)]
 pub(crate) struct VisitCounter(Cell<u64>);
 
--- a/crates/serving/src/zone_availability.rs
+++ b/crates/serving/src/zone_availability.rs
@@ -6,28 +6,29 @@
 /// When the upstreams of a service can take another call, by zone.
 #[derive(Debug)]
 pub(crate) struct ZoneAvailability {
-    turns: Vec<(Name, MonoTime)>,
+    available_at: Vec<(Name, MonoTime)>,
 }
 
 impl ZoneAvailability {
-    pub(crate) fn new(turns: impl Iterator<Item = (Name, MonoTime)>) -> ZoneAvailability {
+    pub(crate) fn new(available_at: impl Iterator<Item = (Name, MonoTime)>) -> ZoneAvailability {
         ZoneAvailability {
-            turns: turns.collect(),
+            available_at: available_at.collect(),
         }
     }
 
-    /// When the first upstream of a zone can; none if none there is well.
-    pub(crate) fn next(&self, zone: &Name) -> Option<MonoTime> {
-        let there = self.turns.iter().filter(|(z, _)| z == zone);
-        there.map(|(_, at)| *at).min()
+    /// When the first upstream of a zone can take another call; `None` if the zone has no usable
+    /// upstream.
+    pub(crate) fn next_available(&self, zone: &Name) -> Option<MonoTime> {
+        let in_zone = self.available_at.iter().filter(|(z, _)| z == zone);
+        in_zone.map(|(_, at)| *at).min()
     }
 
-    /// One of a zone's upstreams that could take a call by `now` has no room for what
-    /// waits, which may go to the others.
-    pub(crate) fn no_room(&mut self, now: MonoTime, zone: &Name) {
-        let free = |(z, at): &(Name, MonoTime)| z == zone && *at <= now;
-        if let Some(at) = self.turns.iter().position(free) {
-            self.turns.swap_remove(at);
+    /// Removes an upstream of a zone that is available by `now`, because it has no storage for the
+    /// results of the queued pieces. These may then go to other zones.
+    pub(crate) fn remove_available(&mut self, now: MonoTime, zone: &Name) {
+        let is_available = |(z, at): &(Name, MonoTime)| z == zone && *at <= now;
+        if let Some(at) = self.available_at.iter().position(is_available) {
+            self.available_at.swap_remove(at);
         }
     }
 }
--- a/crates/serving/tests/evacuation.rs
+++ b/crates/serving/tests/evacuation.rs
@@ -80,17 +80,16 @@
 /// though other zones could have done all of it.
 #[test]
 fn stages_that_nobody_is_left_for_are_asked_for_elsewhere_at_once() {
-    let mut world = Simulation::new(&["first", "second"], 10);
-    let chain = world.chain(1, &[("first", 1), ("second", 4)], 3_000);
-    let key = world.submit(chain).expect("taken");
-    world.run(100);
-    let now = world.now;
+    let mut sim = Simulation::new(&["first", "second"], 10);
+    let chain = sim.chain(1, &[("first", 1), ("second", 4)], 3_000);
+    let key = sim.submit(chain).expect("taken");
+    sim.run(100);
+    let now = sim.now;
     for service in ["first", "second"] {
-        world
-            .desk
+        sim.scheduler
             .set_upstreams(now, service, SPEC, std::iter::empty());
     }
-    world.run(300);
-    let (_, outcome) = world.ended.get(&key).expect("ended");
+    sim.run(300);
+    let (_, outcome) = sim.finished.get(&key).expect("ended");
     assert_eq!(*outcome, Err(JobFailure::Moved));
 }
--- a/crates/serving/tests/restarts.rs
+++ b/crates/serving/tests/restarts.rs
@@ -33,32 +33,31 @@
     both
 }
 
-fn announce(world: &mut Simulation, service: &str, upstreams: Vec<StageUpstream>) {
-    let now = world.now;
-    world
-        .desk
+fn announce(sim: &mut Simulation, service: &str, upstreams: Vec<StageUpstream>) {
+    let now = sim.now;
+    sim.scheduler
         .set_upstreams(now, service, SPEC, upstreams.into_iter());
 }
 
 /// The store tells that an upstream of the first stage has started again.
-fn start_again(world: &mut Simulation, id: &str) {
+fn start_again(sim: &mut Simulation, id: &str) {
     let mut after = with_start("first", 1_000);
     for upstream in after.iter_mut().filter(|u| u.id == id) {
         upstream.start = UpstreamStart::at_millis(9_000);
     }
-    announce(world, "first", after);
+    announce(sim, "first", after);
 }
 
-fn world() -> Simulation {
-    let mut world = Simulation::new(&["first", "second"], 10);
+fn simulation() -> Simulation {
+    let mut sim = Simulation::new(&["first", "second"], 10);
     for service in ["first", "second"] {
-        announce(&mut world, service, with_start(service, 1_000));
+        announce(&mut sim, service, with_start(service, 1_000));
     }
-    world
+    sim
 }
 
-fn took(world: &Simulation, key: JobKey, since: MonoTime) -> Duration {
-    let (ended, outcome) = world.ended.get(&key).expect("ended");
+fn took(sim: &Simulation, key: JobKey, since: MonoTime) -> Duration {
+    let (ended, outcome) = sim.finished.get(&key).expect("ended");
     assert!(outcome.is_ok(), "{outcome:?}");
     ended.since(since)
 }
@@ -68,77 +67,80 @@
 /// store had named the new start long before.
 #[test]
 fn pieces_of_an_open_call_are_asked_for_again_once_the_new_start_is_known() {
-    let mut world = world();
-    let began = world.now;
-    let key = world
-        .submit(world.chain(1, &[("first", 1)], 3_000))
+    let mut sim = simulation();
+    let began = sim.now;
+    let key = sim
+        .submit(sim.chain(1, &[("first", 1)], 3_000))
         .expect("taken");
-    let used = world.calls[0].1.upstream.clone();
-    world.silent.insert(used.clone());
-    world.run(50);
-    start_again(&mut world, &used);
-    world.silent.remove(&used);
-    world.run(1_500);
-    let late = took(&world, key, began);
+    let used = sim.calls[0].1.upstream.clone();
+    sim.silent.insert(used.clone());
+    sim.run(50);
+    start_again(&mut sim, &used);
+    sim.silent.remove(&used);
+    sim.run(1_500);
+    let late = took(&sim, key, began);
     assert!(late < Duration::from_millis(400), "{late:?}");
-    assert_eq!(world.calls.len(), 2);
+    assert_eq!(sim.calls.len(), 2);
 }
 
 /// Results lay at an upstream that starts again. They were missed only by the call
 /// that was to read them, and made again after its answer: a call's time lost.
 #[test]
 fn results_of_an_earlier_start_are_made_again_without_a_call_for_them() {
-    let mut world = world();
-    let key = world.submit(world.chain(1, &CHAIN, 5_000)).expect("taken");
-    let hold = world.submit(world.chain(2, &[("second", 10)], 5_000));
-    let more = world.submit(world.chain(3, &[("second", 10)], 5_000));
+    let mut sim = simulation();
+    let key = sim.submit(sim.chain(1, &CHAIN, 5_000)).expect("taken");
+    let hold = sim.submit(sim.chain(2, &[("second", 10)], 5_000));
+    let more = sim.submit(sim.chain(3, &[("second", 10)], 5_000));
     assert!(hold.is_ok() && more.is_ok());
     // Both upstreams of the second stage are busy when the first one is done.
-    world.run(265);
-    let maker = world.calls[0].1.upstream.clone();
-    world.lose_results(&maker);
-    start_again(&mut world, &maker);
-    world.run(2_000);
-    assert!(world.ended.get(&key).is_some_and(|(_, o)| o.is_ok()));
-    assert_eq!(world.gone, 0, "no call named a result that was gone");
+    sim.run(265);
+    let maker = sim.calls[0].1.upstream.clone();
+    sim.lose_results(&maker);
+    start_again(&mut sim, &maker);
+    sim.run(2_000);
+    assert!(sim.finished.get(&key).is_some_and(|(_, o)| o.is_ok()));
+    assert_eq!(
+        sim.missing_inputs, 0,
+        "no call named a result that was gone"
+    );
 }
 
 /// A call's answer was on its way when its upstream ended. The results that it
 /// names are not there any more, and must not be handed on.
 #[test]
 fn an_answer_of_an_earlier_start_counts_for_nothing() {
-    let mut world = world();
-    let key = world
-        .submit(world.chain(1, &[("first", 2)], 3_000))
+    let mut sim = simulation();
+    let key = sim
+        .submit(sim.chain(1, &[("first", 2)], 3_000))
         .expect("taken");
-    let used = world.calls[0].1.upstream.clone();
-    world.run(200);
-    start_again(&mut world, &used);
-    world.run(1_500);
-    let (_, outcome) = world.ended.get(&key).expect("ended");
+    let used = sim.calls[0].1.upstream.clone();
+    sim.run(200);
+    start_again(&mut sim, &used);
+    sim.run(1_500);
+    let (_, outcome) = sim.finished.get(&key).expect("ended");
     let results = outcome.as_ref().expect("done");
-    let old = &world.made[&world.calls[0].1.key];
+    let old = &sim.results_by_call[&sim.calls[0].1.key];
     assert!(results.iter().all(|r| !old.contains(r)), "{results:?}");
-    assert_eq!(world.calls.len(), 2);
+    assert_eq!(sim.calls.len(), 2);
 }
 
 /// An upstream failed and was left alone for a second. Its new start has done
 /// nothing wrong, and half of the service stood idle until the time was over.
 #[test]
 fn a_new_start_is_not_left_alone_for_what_an_earlier_one_did() {
-    let mut world = world();
-    world.silent.insert("first-1".into());
-    world.silent.insert("first-2".into());
+    let mut sim = simulation();
+    sim.silent.insert("first-1".into());
+    sim.silent.insert("first-2".into());
     for id in 0..2 {
-        let job = world.chain(id, &[("first", 10)], 9_000);
-        world.submit(job).expect("taken");
+        let job = sim.chain(id, &[("first", 10)], 9_000);
+        sim.submit(job).expect("taken");
     }
-    world.run(1_250);
-    world.silent.clear();
-    let before = world.calls.len();
-    announce(&mut world, "first", with_start("first", 9_000));
-    world.run(50);
-    let called = world.calls[before..].iter().map(|(_, c)| &c.upstream);
+    sim.run(1_250);
+    sim.silent.clear();
+    let before = sim.calls.len();
+    announce(&mut sim, "first", with_start("first", 9_000));
+    sim.run(50);
+    let called = sim.calls[before..].iter().map(|(_, c)| &c.upstream);
     assert!(called.clone().any(|u| u == "first-1"), "{called:?}");
 }
 
@@ -146,12 +148,12 @@
 /// store's news of the earlier start arrives, late: it must not bring that back.
 #[test]
 fn a_report_may_tell_of_the_new_start_first() {
-    let mut world = world();
-    let key = world
-        .submit(world.chain(1, &[("first", 1)], 3_000))
+    let mut sim = simulation();
+    let key = sim
+        .submit(sim.chain(1, &[("first", 1)], 3_000))
         .expect("taken");
-    let call = world.calls[0].1.clone();
-    world.run(20);
+    let call = sim.calls[0].1.clone();
+    sim.run(20);
     let asked = StorageQuery {
         service: "first".into(),
         upstream: call.upstream.clone(),
@@ -162,29 +164,29 @@
         free_bytes: SPEC.room_bytes,
         start: UpstreamStart::at_millis(9_000),
     };
-    let now = world.now;
-    world.desk.record_storage_report(now, &asked, Some(report));
-    announce(&mut world, "first", with_start("first", 1_000));
-    world.run(600);
-    assert_eq!(world.calls.len(), 2, "asked for again once");
-    assert!(world.ended.contains_key(&key));
+    let now = sim.now;
+    sim.scheduler
+        .record_storage_report(now, &asked, Some(report));
+    announce(&mut sim, "first", with_start("first", 1_000));
+    sim.run(600);
+    assert_eq!(sim.calls.len(), 2, "asked for again once");
+    assert!(sim.finished.contains_key(&key));
 }
 
 /// The same start is announced again, as each renewed entry does, and one from
 /// before it arrives late. Neither is a new start: nothing is asked for twice.
 #[test]
 fn the_same_start_and_an_earlier_one_change_nothing() {
-    let mut world = world();
-    announce(&mut world, "first", with_start("first", 5_000));
-    world
-        .submit(world.chain(1, &[("first", 1)], 3_000))
+    let mut sim = simulation();
+    announce(&mut sim, "first", with_start("first", 5_000));
+    sim.submit(sim.chain(1, &[("first", 1)], 3_000))
         .expect("taken");
-    world.run(100);
-    announce(&mut world, "first", with_start("first", 5_000));
-    world.run(10);
-    announce(&mut world, "first", with_start("first", 1_000));
-    world.run(600);
-    assert_eq!(world.calls.len(), 1);
+    sim.run(100);
+    announce(&mut sim, "first", with_start("first", 5_000));
+    sim.run(10);
+    announce(&mut sim, "first", with_start("first", 1_000));
+    sim.run(600);
+    assert_eq!(sim.calls.len(), 1);
 }
 
 fn entry(id: &str, start: UpstreamStart, port: u16) -> UpstreamEntry {
--- a/crates/serving/tests/stage_simulation/mod.rs
+++ b/crates/serving/tests/stage_simulation/mod.rs
@@ -40,25 +40,25 @@
 };
 
 pub(crate) struct Simulation {
-    pub(crate) desk: StageScheduler,
+    pub(crate) scheduler: StageScheduler,
     pub(crate) now: MonoTime,
     /// Every call that was made.
     pub(crate) calls: Vec<(MonoTime, BatchCall)>,
-    pub(crate) ended: HashMap<JobKey, (MonoTime, Result<Vec<CompactString>, JobFailure>)>,
+    pub(crate) finished: HashMap<JobKey, (MonoTime, Result<Vec<CompactString>, JobFailure>)>,
     /// Results that lie somewhere, and how large they are.
-    pub(crate) lying: HashMap<CompactString, (CompactString, u64)>,
+    pub(crate) stored: HashMap<CompactString, (CompactString, u64)>,
     /// Upstreams that do not answer.
     pub(crate) silent: HashSet<CompactString>,
     /// The results of each call.
-    pub(crate) made: HashMap<CallKey, Vec<CompactString>>,
+    pub(crate) results_by_call: HashMap<CallKey, Vec<CompactString>>,
     /// Pieces that were to work on results that were gone.
-    pub(crate) gone: usize,
+    pub(crate) missing_inputs: usize,
     /// How often an upstream was asked for its room.
-    pub(crate) questions: u32,
-    bytes: u64,
+    pub(crate) storage_queries: u32,
+    result_bytes: u64,
     due: BTreeMap<(MonoTime, u64), BatchCall>,
     numbers: u64,
-    lost: HashSet<CompactString>,
+    lost_results: HashSet<CompactString>,
     /// Upstreams that take a call each time so long, and when the next one.
     pub(crate) limited: HashMap<CompactString, (Duration, MonoTime)>,
 }
@@ -75,19 +75,19 @@
             desk.set_upstreams(MonoTime::ZERO, service, SPEC, upstreams(service, &[1, 2]));
         }
         Simulation {
-            desk,
+            scheduler: desk,
             now: MonoTime::from_millis(1_000),
             calls: Vec::new(),
-            ended: HashMap::new(),
-            lying: HashMap::new(),
+            finished: HashMap::new(),
+            stored: HashMap::new(),
             silent: HashSet::new(),
-            made: HashMap::new(),
-            gone: 0,
-            questions: 0,
-            bytes,
+            results_by_call: HashMap::new(),
+            missing_inputs: 0,
+            storage_queries: 0,
+            result_bytes: bytes,
             due: BTreeMap::new(),
             numbers: 0,
-            lost: HashSet::new(),
+            lost_results: HashSet::new(),
             limited: HashMap::new(),
         }
     }
@@ -101,7 +101,7 @@
                 service: (*service).into(),
                 after: n.checked_sub(1).into_iter().collect(),
                 pieces: *pieces,
-                result_bytes: self.bytes,
+                result_bytes: self.result_bytes,
             });
         StageJob {
             request_id: format_compact!("request-{id}"),
@@ -116,7 +116,7 @@
     }
 
     pub(crate) fn submit(&mut self, job: StageJob) -> Result<JobKey, JobFailure> {
-        let key = self.desk.submit(self.now, job)?;
+        let key = self.scheduler.submit(self.now, job)?;
         self.pump();
         Ok(key)
     }
@@ -124,9 +124,9 @@
     /// Takes the results at an upstream away, as its end would.
     #[allow(dead_code, reason = "not every test file loses results")]
     pub(crate) fn lose_results(&mut self, upstream: &str) {
-        let lost = self.lying.extract_if(|_, (at, _)| at == upstream);
+        let lost = self.stored.extract_if(|_, (at, _)| at == upstream);
         let lost: Vec<CompactString> = lost.map(|(handle, _)| handle).collect();
-        self.lost.extend(lost);
+        self.lost_results.extend(lost);
     }
 
     /// Runs until `ms` later.
@@ -139,31 +139,31 @@
             {
                 let call = entry.remove();
                 let result = self.work(&call);
-                self.desk.complete_call(self.now, call.key, result);
+                self.scheduler.complete_call(self.now, call.key, result);
             }
             self.pump();
         }
     }
 
     fn pump(&mut self) {
-        self.desk.expire(self.now);
-        for question in self.desk.storage_queries(self.now) {
+        self.scheduler.expire(self.now);
+        for question in self.scheduler.storage_queries(self.now) {
             let used = self.used(&question.upstream);
             let free = SPEC.room_bytes.saturating_sub(used);
-            self.questions += 1;
+            self.storage_queries += 1;
             let told = StorageReport {
                 free_bytes: free,
                 start: UpstreamStart::UNTOLD,
             };
-            self.desk
+            self.scheduler
                 .record_storage_report(self.now, &question, Some(told));
         }
-        while let Some(call) = self.desk.next_call(self.now) {
+        while let Some(call) = self.scheduler.next_call(self.now) {
             if let Some((every, next)) = self.limited.get_mut(&call.upstream) {
                 let wait = next.since(self.now);
                 if !wait.is_zero() {
                     let withheld = CallResult::Withheld(wait);
-                    self.desk.complete_call(self.now, call.key, withheld);
+                    self.scheduler.complete_call(self.now, call.key, withheld);
                     continue;
                 }
                 *next = self.now + *every;
@@ -177,17 +177,17 @@
                 .insert((self.now + took, self.numbers), call.clone());
             self.calls.push((self.now, call));
         }
-        for end in self.desk.take_finished() {
-            self.ended.insert(end.key, (self.now, end.outcome));
+        for end in self.scheduler.take_finished() {
+            self.finished.insert(end.key, (self.now, end.outcome));
         }
-        for handle in self.desk.take_unused_results() {
-            self.lying.remove(&handle);
+        for handle in self.scheduler.take_unused_results() {
+            self.stored.remove(&handle);
         }
     }
 
     /// Bytes of results that lie at an upstream.
     fn used(&self, upstream: &str) -> u64 {
-        let used = self.lying.values().filter(|(at, _)| *at == upstream);
+        let used = self.stored.values().filter(|(at, _)| *at == upstream);
         used.map(|(_, bytes)| bytes).sum()
     }
 
@@ -200,17 +200,20 @@
         for piece in &call.pieces {
             if let PieceInput::Results(inputs) = &piece.input {
                 assert!(!inputs.is_empty(), "a later stage needs inputs");
-                if inputs.iter().any(|i| self.lost.contains(i)) {
-                    self.gone += 1;
+                if inputs.iter().any(|i| self.lost_results.contains(i)) {
+                    self.missing_inputs += 1;
                     results.push(PieceResult::InputMissing);
                     continue;
                 }
             }
             self.numbers += 1;
             let handle = format_compact!("{}/{}", call.upstream, self.numbers);
-            let place = (call.upstream.clone(), self.bytes);
-            self.lying.insert(handle.clone(), place);
-            self.made.entry(call.key).or_default().push(handle.clone());
+            let place = (call.upstream.clone(), self.result_bytes);
+            self.stored.insert(handle.clone(), place);
+            self.results_by_call
+                .entry(call.key)
+                .or_default()
+                .push(handle.clone());
             results.push(PieceResult::Done(handle));
         }
         let used = self.used(&call.upstream);
--- a/crates/serving/tests/worst_load.rs
+++ b/crates/serving/tests/worst_load.rs
@@ -21,41 +21,41 @@
 /// fails the test when more lies at an upstream than it has room for.
 #[test]
 fn results_of_the_dead_are_not_written_over() {
-    let mut world = Simulation::new(&["first"], 100);
+    let mut sim = Simulation::new(&["first"], 100);
     for upstream in ["first-1", "first-2"] {
         let left = (upstream.into(), 1_500);
-        world.lying.insert(format!("{upstream}/dead").into(), left);
+        sim.stored.insert(format!("{upstream}/dead").into(), left);
     }
     let mut keys = Vec::new();
     for id in 0..12 {
-        let job = world.chain(id, &[("first", 2)], 60_000);
-        keys.push(world.submit(job).expect("taken"));
+        let job = sim.chain(id, &[("first", 2)], 60_000);
+        keys.push(sim.submit(job).expect("taken"));
     }
-    world.run(2_000);
-    let asked = world.questions;
-    world.lying.retain(|handle, _| !handle.ends_with("/dead"));
-    world.run(2_000);
-    assert!(keys.iter().all(|k| world.ended.contains_key(k)));
+    sim.run(2_000);
+    let asked = sim.storage_queries;
+    sim.stored.retain(|handle, _| !handle.ends_with("/dead"));
+    sim.run(2_000);
+    assert!(keys.iter().all(|k| sim.finished.contains_key(k)));
     assert!(asked >= 8, "asked {asked} times while the dead's lay there");
-    world.run(5_000);
-    let settled = world.questions;
-    world.run(5_000);
-    assert_eq!(world.questions, settled, "asked for good");
+    sim.run(5_000);
+    let settled = sim.storage_queries;
+    sim.run(5_000);
+    assert_eq!(sim.storage_queries, settled, "asked for good");
 }
 
 /// Upstreams that have no results of others are asked once each and never again.
 #[test]
 fn rooms_are_asked_for_only_while_in_doubt() {
-    let mut world = Simulation::new(&["first"], 10);
+    let mut sim = Simulation::new(&["first"], 10);
     for id in 0..25 {
-        let job = world.chain(id, &[("first", 1)], 60_000);
-        world.submit(job).expect("taken");
-        world.run(100);
+        let job = sim.chain(id, &[("first", 1)], 60_000);
+        sim.submit(job).expect("taken");
+        sim.run(100);
     }
-    assert_eq!(world.questions, 2);
-    world.desk.take_over();
-    world.run(1_000);
-    assert_eq!(world.questions, 4);
+    assert_eq!(sim.storage_queries, 2);
+    sim.scheduler.take_over();
+    sim.run(1_000);
+    assert_eq!(sim.storage_queries, 4);
 }
 
 /// The zone where a job's results are wanted, by its number.
@@ -64,10 +64,10 @@
 }
 
 /// Pieces that were made outside the zone that wants them, and all pieces.
-fn far_pieces(world: &Simulation) -> (usize, usize) {
+fn far_pieces(sim: &Simulation) -> (usize, usize) {
     let mut far = 0;
     let mut all = 0;
-    for (_, call) in &world.calls {
+    for (_, call) in &sim.calls {
         let zone = if call.upstream.ends_with("-1") {
             "a"
         } else {
@@ -88,32 +88,32 @@
 /// megabytes each, although the other zone's upstream was free as often.
 #[test]
 fn a_backlog_is_sorted_by_zone() {
-    let mut world = Simulation::new(&["first"], 10);
+    let mut sim = Simulation::new(&["first"], 10);
     for id in 0..60 {
-        let mut job = world.chain(id, &[("first", 2)], 60_000);
+        let mut job = sim.chain(id, &[("first", 2)], 60_000);
         job.zone = Some(name(zone_of(id)));
-        world.submit(job).expect("taken");
+        sim.submit(job).expect("taken");
     }
-    world.run(5_000);
-    assert_eq!(far_pieces(&world), (0, 120));
+    sim.run(5_000);
+    assert_eq!(far_pieces(&sim), (0, 120));
 }
 
 /// Pieces for the zone of a slow or lost upstream are not kept for it: what would
 /// be late there goes to the other zone while it can still be in time.
 #[test]
 fn what_cannot_wait_goes_to_the_other_zone() {
-    let mut world = Simulation::new(&["first"], 10);
-    world.silent.insert("first-1".into());
+    let mut sim = Simulation::new(&["first"], 10);
+    sim.silent.insert("first-1".into());
     let mut keys: Vec<(JobKey, MonoTime)> = Vec::new();
     for id in 0..30 {
-        let mut job = world.chain(id, &[("first", 1)], 2_500);
+        let mut job = sim.chain(id, &[("first", 1)], 2_500);
         job.zone = Some(name("a"));
         let objective = job.objective;
-        keys.push((world.submit(job).expect("taken"), objective));
-        world.run(60);
+        keys.push((sim.submit(job).expect("taken"), objective));
+        sim.run(60);
     }
-    world.run(4_000);
-    let late = keys.iter().filter(|(k, by)| world.ended[k].0 > *by);
+    sim.run(4_000);
+    let late = keys.iter().filter(|(k, by)| sim.finished[k].0 > *by);
     assert!(late.count() <= 2);
 }
 
@@ -123,26 +123,26 @@
 /// serve was held up by the zone that it was to be served in.
 #[test]
 fn scarce_room_is_not_held_for_the_sake_of_a_zone() {
-    let mut world = Simulation::new(&["first", "second"], 950);
-    let busy = world.chain(1, &[("second", 1)], 60_000);
-    let chain = world.chain(2, &[("first", 1), ("second", 1)], 60_000);
-    world.submit(chain).expect("taken");
-    world.run(250);
+    let mut sim = Simulation::new(&["first", "second"], 950);
+    let busy = sim.chain(1, &[("second", 1)], 60_000);
+    let chain = sim.chain(2, &[("first", 1), ("second", 1)], 60_000);
+    sim.submit(chain).expect("taken");
+    sim.run(250);
     let mut busy = busy;
-    busy.zone = Some(first_zone(&world));
-    world.submit(busy).expect("taken");
-    world.run(60);
-    let made = world.calls.iter().find(|(_, c)| c.service == "second");
+    busy.zone = Some(first_zone(&sim));
+    sim.submit(busy).expect("taken");
+    sim.run(60);
+    let made = sim.calls.iter().find(|(_, c)| c.service == "second");
     let (busy_since, _) = made.expect("the lone piece is worked on");
-    let mut next = world.calls.iter().filter(|(_, c)| c.service == "second");
+    let mut next = sim.calls.iter().filter(|(_, c)| c.service == "second");
     let chained = next.next_back().expect("the chain goes on");
     assert!(chained.0.since(*busy_since) < Duration::from_millis(60));
-    assert_eq!(world.calls.len(), 3);
+    assert_eq!(sim.calls.len(), 3);
 }
 
 /// The zone of the upstream that was called first.
-fn first_zone(world: &Simulation) -> jd_types::Name {
-    let (_, call) = &world.calls[0];
+fn first_zone(sim: &Simulation) -> jd_types::Name {
+    let (_, call) = &sim.calls[0];
     name(if call.upstream.ends_with("-1") {
         "a"
     } else {
@@ -156,23 +156,23 @@
 /// urgent late that came meanwhile.
 #[test]
 fn the_less_urgent_is_late_when_its_own_time_is_over() {
-    let mut world = Simulation::new(&["first"], 1);
-    let job = |world: &Simulation, id, objective, priority| StageJob {
+    let mut sim = Simulation::new(&["first"], 1);
+    let job = |sim: &Simulation, id, objective, priority| StageJob {
         priority,
-        ..world.chain(id, &[("first", 20)], objective)
+        ..sim.chain(id, &[("first", 20)], objective)
     };
-    world.silent.extend(["first-1".into(), "first-2".into()]);
-    let hung = job(&world, 1, 900, 0);
-    world.submit(hung).expect("taken");
-    let less = job(&world, 2, 2_000, 3);
-    world.submit(less).expect("taken");
-    world.run(1_750);
-    world.silent.clear();
-    let urgent = job(&world, 3, 3_000, 0);
-    world.submit(urgent).expect("taken");
-    world.run(2_500);
+    sim.silent.extend(["first-1".into(), "first-2".into()]);
+    let hung = job(&sim, 1, 900, 0);
+    sim.submit(hung).expect("taken");
+    let less = job(&sim, 2, 2_000, 3);
+    sim.submit(less).expect("taken");
+    sim.run(1_750);
+    sim.silent.clear();
+    let urgent = job(&sim, 3, 3_000, 0);
+    sim.submit(urgent).expect("taken");
+    sim.run(2_500);
     let order = |id: &str| {
-        let of = world.calls.iter();
+        let of = sim.calls.iter();
         let mut of = of.filter(|(_, c)| c.pieces.iter().all(|p| p.request_id == id));
         of.next().map(|(at, _)| *at)
     };
@@ -233,25 +233,25 @@
 /// sample, and requests were kept behind each other long after all was well.
 #[test]
 fn what_was_slow_is_forgotten() {
-    let mut world = Simulation::new(&["first"], 1);
+    let mut sim = Simulation::new(&["first"], 1);
     for round in 0..2 {
         for upstream in ["first-1", "first-2"] {
-            world.silent.insert(upstream.into());
+            sim.silent.insert(upstream.into());
         }
         for id in 0..20 {
-            let job = world.chain(round * 100 + id, &[("first", 2)], 900);
+            let job = sim.chain(round * 100 + id, &[("first", 2)], 900);
             // Refused or late: the upstreams hang.
-            let _ = world.submit(job);
-            world.run(100);
+            let _ = sim.submit(job);
+            sim.run(100);
         }
-        world.silent.clear();
-        world.run(6_000);
+        sim.silent.clear();
+        sim.run(6_000);
     }
-    let job = world.chain(999, &[("first", 2)], 600);
+    let job = sim.chain(999, &[("first", 2)], 600);
     let objective = job.objective;
-    let key = world.submit(job).expect("taken at once");
-    world.run(1_000);
-    assert!(world.ended[&key].0 <= objective);
+    let key = sim.submit(job).expect("taken at once");
+    sim.run(1_000);
+    assert!(sim.finished[&key].0 <= objective);
 }
 
 /// Callers that are refused come back, and their objective counts from when they
@@ -259,55 +259,53 @@
 /// been in time, and was late all the same.
 #[test]
 fn who_comes_back_is_not_served_before_who_can_be_in_time() {
-    let mut world = Simulation::new(&["first"], 1);
+    let mut sim = Simulation::new(&["first"], 1);
     let mut refused = None;
     for id in 0..60 {
-        let job = world.chain(id, &[("first", 2)], 900);
-        refused = world.submit(job.clone()).err().map(|_| job).or(refused);
+        let job = sim.chain(id, &[("first", 2)], 900);
+        refused = sim.submit(job.clone()).err().map(|_| job).or(refused);
     }
     let mut again = refused.expect("more than there is time for");
-    world.run(1_600);
-    again.objective = world.now + Duration::from_millis(900);
-    again.deadline = world.now + Duration::from_millis(3_600);
+    sim.run(1_600);
+    again.objective = sim.now + Duration::from_millis(900);
+    again.deadline = sim.now + Duration::from_millis(3_600);
     for id in 200..202 {
-        let filling = world.chain(id, &[("first", 10)], 60_000);
-        world.submit(filling).expect("there is room now");
+        let filling = sim.chain(id, &[("first", 10)], 60_000);
+        sim.submit(filling).expect("there is room now");
     }
-    let back = world.submit(again).expect("there is room now");
+    let back = sim.submit(again).expect("there is room now");
     let new: Vec<JobKey> = (100..110)
         .map(|id| {
-            let job = world.chain(id, &[("first", 2)], 2_000);
-            world.submit(job).expect("there is room now")
+            let job = sim.chain(id, &[("first", 2)], 2_000);
+            sim.submit(job).expect("there is room now")
         })
         .collect();
-    world.run(3_000);
-    let ended = |key: &JobKey| world.ended[key].0;
+    sim.run(3_000);
+    let ended = |key: &JobKey| sim.finished[key].0;
     let last = new.iter().map(ended).max().expect("new ones");
     assert!(ended(&back) >= last, "served before {last:?}");
-    assert!(world.ended[&back].1.is_ok(), "served all the same");
+    assert!(sim.finished[&back].1.is_ok(), "served all the same");
 }
 
 /// The upstreams of a stage name a limit of one call a second, half of what they could do.
 /// Pieces wait for a turn, and what the upstreams take is used.
 #[test]
 fn pieces_wait_for_the_turn_of_limited_upstreams() {
-    let mut world = Simulation::new(&["first"], 10);
+    let mut sim = Simulation::new(&["first"], 10);
     let every = Duration::from_secs(1);
     for upstream in ["first-1", "first-2"] {
-        world
-            .limited
-            .insert(upstream.into(), (every, MonoTime::ZERO));
+        sim.limited.insert(upstream.into(), (every, MonoTime::ZERO));
     }
     for id in 0..400 {
-        let job = world.chain(id, &[("first", 1)], 2_000);
+        let job = sim.chain(id, &[("first", 1)], 2_000);
         // Refused at once is as good as done here.
-        let _ = world.submit(job);
-        world.run(25);
+        let _ = sim.submit(job);
+        sim.run(25);
     }
-    let calls = world.calls.iter().filter(|(_, c)| c.upstream == "first-1");
+    let calls = sim.calls.iter().filter(|(_, c)| c.upstream == "first-1");
     let at: Vec<MonoTime> = calls.map(|(at, _)| *at).collect();
     assert!(at.windows(2).all(|pair| pair[1].since(pair[0]) >= every));
-    let done = world.ended.values().filter(|(_, outcome)| outcome.is_ok());
+    let done = sim.finished.values().filter(|(_, outcome)| outcome.is_ok());
     let most = 2 * SPEC.pieces * 10;
     assert!(done.count() * 10 >= most * 8, "of {most}");
 }
