--- a/crates/serving/tests/deadlines.rs
+++ b/crates/serving/tests/deadlines.rs
@@ -1,4 +1,4 @@
-//! Requests that cannot be done before their deadlines.
+//! Requests that cannot end before their deadlines.
 
 #![allow(clippy::expect_used, clippy::panic)]
 
@@ -11,11 +11,11 @@
 
 const CHAIN: [(&str, usize); 2] = [("first", 1), ("second", 4)];
 
-/// A caller hung at a dead instance, and asks again when it has little time left. Its
-/// objective counts anew and would be met, its deadline cannot be: it was taken in, held
-/// until its deadline, and its stages were done for nobody.
+/// A caller waited for a dead instance, and retries with little time left. Its objective counts
+/// from the retry and could be met, but its deadline cannot. If the job were accepted, it would
+/// wait until its deadline, and its stages would be run in vain.
 #[test]
-fn what_cannot_end_before_its_deadline_is_refused_when_it_comes() {
+fn a_job_that_cannot_meet_its_deadline_is_refused_on_arrival() {
     let mut sim = Simulation::new(&["first", "second"], 10);
     let mut job = sim.chain(1, &CHAIN, 3_000);
     job.deadline = sim.now + Duration::from_millis(400);
@@ -27,41 +27,41 @@
     assert!(sim.calls.is_empty());
 }
 
-/// The same with time enough, in which it is done.
+/// The same with enough time, so that the job is done.
 #[test]
-fn what_can_end_before_its_deadline_is_taken() {
+fn a_job_that_can_meet_its_deadline_is_accepted() {
     let mut sim = Simulation::new(&["first", "second"], 10);
     let mut job = sim.chain(1, &CHAIN, 3_000);
     job.deadline = sim.now + Duration::from_millis(900);
-    let key = sim.submit(job).expect("taken");
+    let key = sim.submit(job).expect("accepted");
     sim.run(900);
     assert!(sim.finished[&key].1.is_ok());
 }
 
-/// A request could be done when it came, and then more urgent ones come for longer than
-/// its caller waits. Once even the shortest calls end too late for it, its caller is
-/// told, and no upstream works for it.
+/// A request could be served on arrival, but then more urgent ones keep coming for longer than its
+/// caller waits. It is refused as soon as even the shortest calls would end too late, and no
+/// upstream processes its pieces.
 #[test]
-fn what_can_no_longer_end_before_its_deadline_is_refused_at_once() {
+fn a_queued_job_that_can_no_longer_meet_its_deadline_is_refused_at_once() {
     let mut sim = Simulation::new(&["first"], 1);
     for id in 1..5 {
         let urgent = sim.chain(id, &[("first", 10)], 3_000);
-        sim.submit(urgent).expect("taken");
+        sim.submit(urgent).expect("accepted");
     }
     let mut job = sim.chain(1_000, &[("first", 1)], 1_500);
     job.priority = 9;
     job.deadline = sim.now + Duration::from_millis(2_000);
     let deadline = job.deadline;
-    let key = sim.submit(job).expect("taken");
+    let key = sim.submit(job).expect("accepted");
     for id in 5..400 {
         let urgent = sim.chain(id, &[("first", 10)], 3_000);
-        // Some find too much before them.
-        let _taken = sim.submit(urgent);
+        // Some are refused because of the backlog.
+        let _accepted = sim.submit(urgent);
         sim.run(10);
     }
-    let (ended, outcome) = &sim.finished[&key];
+    let (finished_at, outcome) = &sim.finished[&key];
     assert_eq!(*outcome, Err(JobFailure::TooLate));
-    let early = deadline.since(*ended);
+    let early = deadline.since(*finished_at);
     assert!(
         early >= Duration::from_millis(240),
         "{early:?} before its deadline"
--- a/crates/serving/tests/evacuation.rs
+++ b/crates/serving/tests/evacuation.rs
@@ -16,10 +16,10 @@
     Name::try_from(name).expect("a name")
 }
 
-/// An instance is cut off while a zone is taken back, and reads the whole store
-/// afterwards. What is not listed any more is not evacuated any more.
+/// An instance is disconnected while the evacuation of a zone ends, and reads a full snapshot of
+/// the store afterwards. A zone that is no longer listed is no longer evacuated.
 #[test]
-fn a_zone_that_is_no_longer_listed_is_taken_back() {
+fn a_zone_that_is_no_longer_listed_is_no_longer_evacuated() {
     let mut zones = EvacuatedZones::default();
     assert!(zones.evacuate(zone("a")));
     assert!(!zones.evacuate(zone("a")));
@@ -34,10 +34,10 @@
     assert_eq!(zones.taken_back_at(&zone("b")), None);
 }
 
-/// The store comes back from a copy that is older than an evacuation. The operator has
-/// some seconds to write it again.
+/// The store is restored from a copy that is older than an evacuation. The evacuation stays in
+/// force for some seconds, in which the operator can write it again.
 #[test]
-fn a_copy_does_not_take_a_zone_back() {
+fn a_restored_copy_does_not_end_an_evacuation() {
     let at = MonoTime::from_millis;
     let mut zones = EvacuatedZones::default();
     zones.evacuate(zone("a"));
@@ -54,19 +54,19 @@
 }
 
 #[test]
-fn an_evacuation_that_is_written_again_stays() {
+fn an_evacuation_that_is_written_again_persists() {
     let at = MonoTime::from_millis;
     let mut zones = EvacuatedZones::default();
     zones.evacuate(zone("a"));
     zones.replace(at(1_000), [].into(), SnapshotKind::Restored);
-    assert!(!zones.evacuate(zone("a")), "no news");
+    assert!(!zones.evacuate(zone("a")), "not a change");
     assert!(!zones.expire(at(20_000)));
     assert!(zones.is_evacuated(&zone("a")));
 }
 
-/// The operator takes a zone back that the store had lost.
+/// The operator ends an evacuation that the store had lost.
 #[test]
-fn a_zone_that_a_copy_lacks_can_be_taken_back() {
+fn an_evacuation_that_a_copy_lacks_can_be_ended() {
     let at = MonoTime::from_millis;
     let mut zones = EvacuatedZones::default();
     zones.evacuate(zone("a"));
@@ -75,14 +75,14 @@
     assert!(!zones.is_evacuated(&zone("a")));
 }
 
-/// The owner of a zone's upstreams loses them all at once, as the zone is evacuated. A
-/// request whose first stage was done there waited for the second until its deadline,
-/// though other zones could have done all of it.
+/// The owner of a zone's upstreams loses all of them at once because the zone is evacuated. A
+/// request whose first stage was done there would wait for the second until its deadline, although
+/// other zones could run all of its stages.
 #[test]
-fn stages_that_nobody_is_left_for_are_asked_for_elsewhere_at_once() {
+fn stages_without_upstreams_are_moved_to_another_shard_at_once() {
     let mut sim = Simulation::new(&["first", "second"], 10);
     let chain = sim.chain(1, &[("first", 1), ("second", 4)], 3_000);
-    let key = sim.submit(chain).expect("taken");
+    let key = sim.submit(chain).expect("accepted");
     sim.run(100);
     let now = sim.now;
     for service in ["first", "second"] {
--- a/crates/serving/tests/growth.rs
+++ b/crates/serving/tests/growth.rs
@@ -1,4 +1,4 @@
-//! What a change, a question and a request cost as the fleet grows, by counting.
+//! The cost of changes, queries and requests as the fleet grows, in visited entries.
 
 #![allow(clippy::expect_used)]
 
@@ -69,11 +69,11 @@
     mirror
 }
 
-/// Guards against relays that look through all records for each follower at each change.
+/// A relay must not visit all records for each follower at each change.
 #[test_case(1_000)]
 #[test_case(10_000)]
 #[test_case(20_000)]
-fn news_for_a_follower_look_at_what_changed_only(records: u64) {
+fn updates_for_a_follower_visit_only_changed_records(records: u64) {
     let mut mirror = mirror_of(records);
     let changes = vec![
         record(7, records + 1),
@@ -81,59 +81,59 @@
         record(9, records + 3),
     ];
     mirror.apply(changes, rev(records + 3));
-    let before = mirror.visited();
+    let visited_before = mirror.visited();
     for _ in 0..95 {
         assert_eq!(mirror.since(rev(records)).items.len(), 3);
     }
-    let visited = mirror.visited() - before;
+    let visited = mirror.visited() - visited_before;
     assert!(visited <= 95 * 6, "{visited} visited");
 }
 
-/// Guards against followers that are all sent everything because many upstreams left at once.
+/// Followers must not all be sent all records because many upstreams left at once.
 #[test_case(1_000)]
 #[test_case(10_000)]
 #[test_case(20_000)]
-fn a_sixth_of_all_records_may_go_at_once_without_a_whole_reading(records: u64) {
+fn removing_a_sixth_of_all_records_needs_no_full_update(records: u64) {
     let mut mirror = mirror_of(records);
-    let gone = records / 6;
-    let removals = (0..gone).map(|n| removal(n, records + n + 1)).collect();
-    mirror.apply(removals, rev(records + gone));
-    let news = mirror.since(rev(records));
-    assert!(!news.whole);
-    assert_eq!(news.items.len() as u64, gone);
+    let removed = records / 6;
+    let removals = (0..removed).map(|n| removal(n, records + n + 1)).collect();
+    mirror.apply(removals, rev(records + removed));
+    let update = mirror.since(rev(records));
+    assert!(!update.whole);
+    assert_eq!(update.items.len() as u64, removed);
 }
 
-/// Guards against a look at all upstreams for each entry that is written in a release.
+/// A rolling release must not visit all upstreams for each entry that is written.
 #[test_case(1_000)]
 #[test_case(10_000)]
 #[test_case(20_000)]
-fn an_entry_that_changes_costs_what_it_touches(upstreams: u64) {
+fn a_changed_entry_visits_only_related_entries(upstreams: u64) {
     let now = MonoTime::from_micros(1);
     let mut directory = UpstreamDirectory::default();
     let all = (0..upstreams).map(|n| upstream(n, false)).collect();
     directory.replace(now, all, SnapshotKind::Complete);
-    let before = directory.visited();
+    let visited_before = directory.visited();
     for n in 0..100 {
         assert!(directory.put(now, upstream(n, true)));
         assert!(directory.remove(now, &format!("u{n}")));
         assert!(!directory.expire(now));
     }
-    let visited = directory.visited() - before;
+    let visited = directory.visited() - visited_before;
     assert!(visited <= 100, "{visited} visited");
 }
 
-/// Guards against a whole reading that compares each entry with each other.
+/// A full snapshot must not compare each entry with each other one.
 #[test_case(1_000)]
 #[test_case(10_000)]
 #[test_case(20_000)]
-fn a_whole_reading_looks_at_each_entry_twice(upstreams: u64) {
+fn a_snapshot_visits_each_entry_at_most_twice(upstreams: u64) {
     let now = MonoTime::from_micros(1);
     let mut directory = UpstreamDirectory::default();
     let all = || (0..upstreams).map(|n| upstream(n, false)).collect();
     directory.replace(now, all(), SnapshotKind::Complete);
-    let before = directory.visited();
+    let visited_before = directory.visited();
     assert!(!directory.replace(now, all(), SnapshotKind::Complete));
-    let visited = directory.visited() - before;
+    let visited = directory.visited() - visited_before;
     assert!(visited <= 2 * upstreams, "{visited} visited");
 }
 
@@ -157,68 +157,69 @@
     Name::try_from(["a", "b", "c", "d", "e"][n as usize % 5]).expect("a name")
 }
 
-/// Guards against heartbeats that grow with the fleet or with its shards: each instance
-/// uses a few of these, and has the same few partners at any size.
+/// Heartbeats must not grow with the fleet or with the number of shards: each instance uses a few
+/// shards, and exchanges heartbeats with the same few peers at any size.
 #[test_case(300, 12; "300 instances")]
 #[test_case(985, 50; "985 instances")]
-#[test_case(2_000, 50; "2000 instances before twice the upstreams")]
-fn partners_of_an_instance_do_not_grow_with_the_fleet(instances: u32, strong: u32) {
+#[test_case(2_000, 50; "2000 instances in front of twice the upstreams")]
+fn heartbeat_peers_do_not_grow_with_the_fleet(instances: u32, strong: u32) {
     let fleet: Vec<InstanceEntry> = (0..instances).map(|n| instance(n, strong)).collect();
     let upstreams = instances * 5;
-    let places: Vec<Name> = (0..upstreams).map(zone).collect();
-    let shards = ShardMap::new(places.iter().map(|zone| ("rank", zone)));
+    let zones: Vec<Name> = (0..upstreams).map(zone).collect();
+    let shards = ShardMap::new(zones.iter().map(|zone| ("rank", zone)));
     let all: Vec<&Shard> = shards.shards().collect();
     for n in (0..instances).step_by(37) {
         let me = &fleet[n as usize];
         let others: Vec<InstanceEntry> = fleet.iter().filter(|e| *e != me).cloned().collect();
-        let mut used = UsedShards::default();
+        let mut recent = UsedShards::default();
         let at = |s: u32| MonoTime::ZERO + Duration::from_secs(s.into());
-        // Requests with stages at a quarter of a second's rate for each instance.
+        // One request with stages every four seconds at each instance.
         for s in 0..20 {
             let shard = all[(n + s * 7) as usize % all.len()];
-            used.note(at(s * 4), shard);
+            recent.note(at(s * 4), shard);
         }
-        let shards = used.watched(at(77), &shards);
-        let partners = watched(me, &others, &shards, Some(fleet[0].incarnation));
-        assert!(partners.len() <= 8, "{} partners", partners.len());
-        assert!(!partners.contains(&me.incarnation));
+        let shards = recent.watched(at(77), &shards);
+        let peers = watched(me, &others, &shards, Some(fleet[0].incarnation));
+        assert!(peers.len() <= 8, "{} peers", peers.len());
+        assert!(!peers.contains(&me.incarnation));
     }
 }
 
-/// Guards against an instance in which much is asked for: it watches no more than a bound.
+/// An instance with many requests monitors a bounded number of owners.
 #[test]
-fn a_busy_instance_watches_the_owners_it_used_last() {
+fn a_busy_instance_monitors_the_most_recently_used_owners() {
     let fleet: Vec<InstanceEntry> = (0..985).map(|n| instance(n, 50)).collect();
-    let places: Vec<Name> = (0..1_500).map(zone).collect();
-    let shards = ShardMap::new(places.iter().map(|zone| ("rank", zone)));
-    let mut used = UsedShards::default();
+    let zones: Vec<Name> = (0..1_500).map(zone).collect();
+    let shards = ShardMap::new(zones.iter().map(|zone| ("rank", zone)));
+    let mut recent = UsedShards::default();
     let now = MonoTime::from_micros(1);
     for (n, shard) in shards.shards().enumerate() {
-        assert!(used.note(now + Duration::from_millis(n as u64), shard));
-        assert!(!used.note(now + Duration::from_millis(n as u64), shard));
+        assert!(recent.note(now + Duration::from_millis(n as u64), shard));
+        assert!(!recent.note(now + Duration::from_millis(n as u64), shard));
     }
     let late = now + Duration::from_millis(200);
     let last = shards.shards().last().cloned().expect("a shard");
-    let watching = used.watched(late, &shards);
-    assert!(watching.contains(&last));
-    let partners = watched(&fleet[100], &fleet[..100], &watching, None);
-    assert!(partners.len() <= 19, "{} partners", partners.len());
+    let monitored = recent.watched(late, &shards);
+    assert!(monitored.contains(&last));
+    let peers = watched(&fleet[100], &fleet[..100], &monitored, None);
+    assert!(peers.len() <= 19, "{} peers", peers.len());
     assert!(
-        used.watched(late + Duration::from_secs(6), &shards)
+        recent
+            .watched(late + Duration::from_secs(6), &shards)
             .is_empty()
     );
 }
 
-/// Guards against starts that read the whole list of instances: 985 that did kept the
+/// Instances must not all read the complete list of instances at their start: 985 of them kept the
 /// store's link busy for ten seconds.
 #[test_case(300, 12; "300 instances")]
 #[test_case(985, 50; "985 instances")]
 #[test_case(2_000, 100; "2000 instances")]
 #[test_case(985, 0; "985 instances, none of them strong")]
-fn when_all_start_a_few_dozen_read_the_store_and_share_the_others(instances: u32, strong: u32) {
+fn a_few_dozen_instances_read_the_store_when_all_start(instances: u32, strong: u32) {
     let fleet: Vec<InstanceEntry> = (0..instances).map(|n| instance(n, strong)).collect();
     let bits = |e: &InstanceEntry| e.incarnation.get() >> 59;
-    let mut asked: HashMap<SocketAddr, u32> = HashMap::new();
+    let mut queries: HashMap<SocketAddr, u32> = HashMap::new();
     for me in &fleet {
         let sample = fleet.iter().filter(|e| bits(e) == bits(me) && *e != me);
         let sample: Vec<InstanceEntry> = sample.cloned().collect();
@@ -229,16 +230,16 @@
         );
         let sources = FirstSources::of_sample(me.incarnation, &sample);
         let first = sources.expect("a large fleet").ask_next();
-        *asked.entry(first.expect("a source")).or_default() += 1;
+        *queries.entry(first.expect("a source")).or_default() += 1;
     }
-    assert!(asked.len() <= 16 * 3, "{} read the store", asked.len());
-    let most = asked.values().max().copied().unwrap_or_default();
+    assert!(queries.len() <= 16 * 3, "{} read the store", queries.len());
+    let most = queries.values().max().copied().unwrap_or_default();
     assert!(most <= instances / 12, "one tells {most}");
 }
 
-/// Guards against a start that asks the dead for good, or the same one only.
+/// A starting instance must not query dead sources forever, or only the same one.
 #[test]
-fn sources_that_do_not_answer_are_replaced_by_the_next() {
+fn unresponsive_sources_are_replaced_by_the_next() {
     let sample: Vec<InstanceEntry> = (0..40).map(|n| instance(n, 3)).collect();
     let sources = FirstSources::of_sample(Incarnation::new(1), &sample);
     let mut sources = sources.expect("a large fleet");
@@ -252,10 +253,10 @@
     assert!(FirstSources::of_sample(Incarnation::new(1), &sample[..9]).is_none());
 }
 
-/// Guards against weak instances that all read the store because a part of the fleet asked
-/// them: where there are stronger ones, these have read it sooner.
+/// Weak instances must not all read the store because a part of the fleet queries them: stronger
+/// instances, where there are any, have read it sooner.
 #[test]
-fn a_weak_instance_leaves_reading_to_a_stronger_one() {
+fn a_weak_instance_leaves_reading_the_store_to_a_stronger_one() {
     let sample: Vec<InstanceEntry> = (0..40).map(|n| instance(n, 3)).collect();
     let sources = FirstSources::of_sample(Incarnation::new(1), &sample);
     let sources = sources.expect("a large fleet");
--- a/crates/serving/tests/restarts.rs
+++ b/crates/serving/tests/restarts.rs
@@ -1,4 +1,4 @@
-//! Upstreams that start again under the identity that they had.
+//! Upstreams that restart under the same identity.
 
 #![allow(clippy::expect_used, clippy::panic)]
 
@@ -23,7 +23,7 @@
 
 const CHAIN: [(&str, usize); 2] = [("first", 1), ("second", 4)];
 
-/// The two upstreams of a service, the first of them with this start.
+/// The two upstreams of a service; the first of them has the given start.
 fn with_start(service: &str, start: u64) -> Vec<StageUpstream> {
     let mut both: Vec<StageUpstream> = upstreams(service, &[1, 2]).collect();
     for upstream in &mut both {
@@ -39,13 +39,13 @@
         .set_upstreams(now, service, SPEC, upstreams.into_iter());
 }
 
-/// The store tells that an upstream of the first stage has started again.
-fn start_again(sim: &mut Simulation, id: &str) {
-    let mut after = with_start("first", 1_000);
-    for upstream in after.iter_mut().filter(|u| u.id == id) {
+/// Announces through the store that an upstream of the first stage has restarted.
+fn restart(sim: &mut Simulation, id: &str) {
+    let mut announced = with_start("first", 1_000);
+    for upstream in announced.iter_mut().filter(|u| u.id == id) {
         upstream.start = UpstreamStart::at_millis(9_000);
     }
-    announce(sim, "first", after);
+    announce(sim, "first", announced);
 }
 
 fn simulation() -> Simulation {
@@ -56,87 +56,84 @@
     sim
 }
 
-fn took(sim: &Simulation, key: JobKey, since: MonoTime) -> Duration {
-    let (ended, outcome) = sim.finished.get(&key).expect("ended");
+fn time_to_finish(sim: &Simulation, key: JobKey, since: MonoTime) -> Duration {
+    let (finished_at, outcome) = sim.finished.get(&key).expect("ended");
     assert!(outcome.is_ok(), "{outcome:?}");
-    ended.since(since)
+    finished_at.since(since)
 }
 
-/// An upstream goes dark in the middle of a call and starts again 50 ms later. Its
-/// pieces waited until the call's patience ended, two calls' time, though the
-/// store had named the new start long before.
+/// An upstream stops during a call and restarts 50 ms later. If its pieces waited for the time-out
+/// of the call, they would be delayed by two calls, although the store has long announced the
+/// restart.
 #[test]
-fn pieces_of_an_open_call_are_asked_for_again_once_the_new_start_is_known() {
+fn pieces_of_an_open_call_are_sent_again_once_the_restart_is_known() {
     let mut sim = simulation();
-    let began = sim.now;
+    let started_at = sim.now;
     let key = sim
         .submit(sim.chain(1, &[("first", 1)], 3_000))
-        .expect("taken");
-    let used = sim.calls[0].1.upstream.clone();
-    sim.silent.insert(used.clone());
+        .expect("accepted");
+    let upstream = sim.calls[0].1.upstream.clone();
+    sim.unresponsive.insert(upstream.clone());
     sim.run(50);
-    start_again(&mut sim, &used);
-    sim.silent.remove(&used);
+    restart(&mut sim, &upstream);
+    sim.unresponsive.remove(&upstream);
     sim.run(1_500);
-    let late = took(&sim, key, began);
-    assert!(late < Duration::from_millis(400), "{late:?}");
+    let elapsed = time_to_finish(&sim, key, started_at);
+    assert!(elapsed < Duration::from_millis(400), "{elapsed:?}");
     assert_eq!(sim.calls.len(), 2);
 }
 
-/// Results lay at an upstream that starts again. They were missed only by the call
-/// that was to read them, and made again after its answer: a call's time lost.
+/// An upstream with stored results restarts. If the loss were noticed only by the call that needs
+/// them, they would be produced again one call too late.
 #[test]
-fn results_of_an_earlier_start_are_made_again_without_a_call_for_them() {
+fn results_of_an_earlier_start_are_produced_again_before_a_call_needs_them() {
     let mut sim = simulation();
-    let key = sim.submit(sim.chain(1, &CHAIN, 5_000)).expect("taken");
-    let hold = sim.submit(sim.chain(2, &[("second", 10)], 5_000));
-    let more = sim.submit(sim.chain(3, &[("second", 10)], 5_000));
-    assert!(hold.is_ok() && more.is_ok());
-    // Both upstreams of the second stage are busy when the first one is done.
+    let key = sim.submit(sim.chain(1, &CHAIN, 5_000)).expect("accepted");
+    let first_filler = sim.submit(sim.chain(2, &[("second", 10)], 5_000));
+    let second_filler = sim.submit(sim.chain(3, &[("second", 10)], 5_000));
+    assert!(first_filler.is_ok() && second_filler.is_ok());
+    // Both upstreams of the second stage are busy when the first stage is done.
     sim.run(265);
-    let maker = sim.calls[0].1.upstream.clone();
-    sim.lose_results(&maker);
-    start_again(&mut sim, &maker);
+    let producer = sim.calls[0].1.upstream.clone();
+    sim.lose_results(&producer);
+    restart(&mut sim, &producer);
     sim.run(2_000);
     assert!(sim.finished.get(&key).is_some_and(|(_, o)| o.is_ok()));
-    assert_eq!(
-        sim.missing_inputs, 0,
-        "no call named a result that was gone"
-    );
+    assert_eq!(sim.missing_inputs, 0, "a call named a result that was gone");
 }
 
-/// A call's answer was on its way when its upstream ended. The results that it
-/// names are not there any more, and must not be handed on.
+/// The answer of a call was in transit when its upstream crashed. The results that it names are
+/// gone and must not be used.
 #[test]
-fn an_answer_of_an_earlier_start_counts_for_nothing() {
+fn an_answer_of_an_earlier_start_is_discarded() {
     let mut sim = simulation();
     let key = sim
         .submit(sim.chain(1, &[("first", 2)], 3_000))
-        .expect("taken");
-    let used = sim.calls[0].1.upstream.clone();
+        .expect("accepted");
+    let upstream = sim.calls[0].1.upstream.clone();
     sim.run(200);
-    start_again(&mut sim, &used);
+    restart(&mut sim, &upstream);
     sim.run(1_500);
     let (_, outcome) = sim.finished.get(&key).expect("ended");
     let results = outcome.as_ref().expect("done");
-    let old = &sim.results_by_call[&sim.calls[0].1.key];
-    assert!(results.iter().all(|r| !old.contains(r)), "{results:?}");
+    let lost = &sim.results_by_call[&sim.calls[0].1.key];
+    assert!(results.iter().all(|r| !lost.contains(r)), "{results:?}");
     assert_eq!(sim.calls.len(), 2);
 }
 
-/// An upstream failed and was left alone for a second. Its new start has done
-/// nothing wrong, and half of the service stood idle until the time was over.
+/// An upstream failed, and is sent nothing for a second. If this also applied after its restart,
+/// half of the service would be idle until the time has passed.
 #[test]
-fn a_new_start_is_not_left_alone_for_what_an_earlier_one_did() {
+fn a_restarted_upstream_is_not_blocked_for_earlier_failures() {
     let mut sim = simulation();
-    sim.silent.insert("first-1".into());
-    sim.silent.insert("first-2".into());
+    sim.unresponsive.insert("first-1".into());
+    sim.unresponsive.insert("first-2".into());
     for id in 0..2 {
         let job = sim.chain(id, &[("first", 10)], 9_000);
-        sim.submit(job).expect("taken");
+        sim.submit(job).expect("accepted");
     }
     sim.run(1_250);
-    sim.silent.clear();
+    sim.unresponsive.clear();
     let before = sim.calls.len();
     announce(&mut sim, "first", with_start("first", 9_000));
     sim.run(50);
@@ -144,17 +141,17 @@
     assert!(called.clone().any(|u| u == "first-1"), "{called:?}");
 }
 
-/// The upstream's own report tells of the new start before the store does. Then the
-/// store's news of the earlier start arrives, late: it must not bring that back.
+/// The upstream's own report announces the restart before the store does. A late entry of the
+/// earlier start from the store must not revert this.
 #[test]
-fn a_report_may_tell_of_the_new_start_first() {
+fn a_storage_report_may_announce_the_restart_first() {
     let mut sim = simulation();
     let key = sim
         .submit(sim.chain(1, &[("first", 1)], 3_000))
-        .expect("taken");
+        .expect("accepted");
     let call = sim.calls[0].1.clone();
     sim.run(20);
-    let asked = StorageQuery {
+    let query = StorageQuery {
         service: "first".into(),
         upstream: call.upstream.clone(),
         start: call.start,
@@ -166,21 +163,21 @@
     };
     let now = sim.now;
     sim.scheduler
-        .record_storage_report(now, &asked, Some(report));
+        .record_storage_report(now, &query, Some(report));
     announce(&mut sim, "first", with_start("first", 1_000));
     sim.run(600);
-    assert_eq!(sim.calls.len(), 2, "asked for again once");
+    assert_eq!(sim.calls.len(), 2, "sent again once");
     assert!(sim.finished.contains_key(&key));
 }
 
-/// The same start is announced again, as each renewed entry does, and one from
-/// before it arrives late. Neither is a new start: nothing is asked for twice.
+/// The same start is announced again, as with each renewed entry, and an earlier one arrives late.
+/// Neither is a restart, so no piece is sent twice.
 #[test]
 fn the_same_start_and_an_earlier_one_change_nothing() {
     let mut sim = simulation();
     announce(&mut sim, "first", with_start("first", 5_000));
     sim.submit(sim.chain(1, &[("first", 1)], 3_000))
-        .expect("taken");
+        .expect("accepted");
     sim.run(100);
     announce(&mut sim, "first", with_start("first", 5_000));
     sim.run(10);
@@ -208,10 +205,10 @@
     Some(found.entry.address.port())
 }
 
-/// A write of an earlier start is done seconds after it was sent, when the upstream
-/// has started again elsewhere. Taken in, requests went to the old address.
+/// A write of an earlier start takes effect seconds after it was sent, when the upstream has
+/// restarted at another address. If it were accepted, requests would go to the old address.
 #[test]
-fn an_entry_of_an_earlier_start_does_not_take_the_place_of_a_later_one() {
+fn an_entry_of_an_earlier_start_does_not_replace_a_later_one() {
     let mut directory = UpstreamDirectory::default();
     let start = UpstreamStart::at_millis;
     assert!(directory.put(MonoTime::ZERO, entry("i-1", start(2_000), 81)));
@@ -221,10 +218,10 @@
     assert_eq!(port_of(&directory, "i-1"), Some(82));
 }
 
-/// Where upstreams tell their start, an entry without one is another writer's. It
-/// names no upstream, also written over a good one; the others hold.
+/// Where upstreams announce their start, an entry without one comes from another writer. It is
+/// ignored, even if it overwrites a valid entry; the other entries stay valid.
 #[test]
-fn an_entry_without_a_start_names_no_upstream_where_others_tell_theirs() {
+fn an_entry_without_a_start_is_ignored_where_others_have_one() {
     let mut directory = UpstreamDirectory::default();
     let start = UpstreamStart::at_millis;
     directory.put(MonoTime::ZERO, entry("i-1", start(1_000), 81));
@@ -235,10 +232,10 @@
     assert_eq!(port_of(&directory, "i-1"), Some(81));
 }
 
-/// One entry with a start among many without: the many are those of a deployment
-/// whose upstreams do not tell it, and must all hold.
+/// One entry with a start among many without one: the deployment's upstreams do not announce their
+/// start, and all of the entries are valid.
 #[test]
-fn one_that_tells_its_start_does_not_cost_the_others_their_place() {
+fn a_single_entry_with_a_start_does_not_invalidate_the_others() {
     let mut directory = UpstreamDirectory::default();
     let mut entries = vec![entry("i-0", UpstreamStart::at_millis(1_000), 80)];
     entries.extend((1..5).map(|n| entry(&format!("i-{n}"), UpstreamStart::UNTOLD, 80 + n)));
@@ -247,10 +244,10 @@
     assert!(directory.put(MonoTime::ZERO, entry("i-5", UpstreamStart::UNTOLD, 85)));
 }
 
-/// An entry is written over while the store comes and goes. It does not count as
-/// one that lapsed: what stands there now is not the upstream's.
+/// An entry is overwritten while the store is intermittently unavailable. It does not count as
+/// lapsed, because the value there now is not the upstream's.
 #[test]
-fn an_entry_written_over_is_left_out_at_once() {
+fn an_overwritten_entry_is_left_out_at_once() {
     let mut directory = UpstreamDirectory::default();
     directory.put(MonoTime::ZERO, entry("i-1", UpstreamStart::UNTOLD, 81));
     directory.store_away();
--- a/crates/serving/tests/stage_simulation/mod.rs
+++ b/crates/serving/tests/stage_simulation/mod.rs
@@ -1,5 +1,5 @@
-//! Upstreams of stages in virtual time: each works on one call at a time and
-//! keeps results until they are given up.
+//! A simulation of the upstreams of stages in virtual time. Each upstream processes one call at a
+//! time and stores results until they are released.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -27,8 +27,8 @@
 use jd_types::MonoTime;
 use jd_types::Name;
 
-/// A service of two upstreams, one in each zone, as the users have them: calls
-/// of a quarter of a second, ten pieces at most.
+/// A service with two upstreams, one in each zone, as in the users' deployments: calls take a
+/// quarter of a second and hold ten pieces at most.
 pub(crate) const SPEC: BatchSpec = BatchSpec {
     slots: 1,
     queue: 2,
@@ -39,28 +39,29 @@
     keep: Duration::from_secs(4),
 };
 
+/// A scheduler and simulated upstreams.
 pub(crate) struct Simulation {
     pub(crate) scheduler: StageScheduler,
     pub(crate) now: MonoTime,
-    /// Every call that was made.
+    /// All calls, with the time of their start.
     pub(crate) calls: Vec<(MonoTime, BatchCall)>,
     pub(crate) finished: HashMap<JobKey, (MonoTime, Result<Vec<CompactString>, JobFailure>)>,
-    /// Results that lie somewhere, and how large they are.
+    /// The stored results, each with its upstream and size.
     pub(crate) stored: HashMap<CompactString, (CompactString, u64)>,
-    /// Upstreams that do not answer.
-    pub(crate) silent: HashSet<CompactString>,
-    /// The results of each call.
+    /// The upstreams that do not answer.
+    pub(crate) unresponsive: HashSet<CompactString>,
+    /// The results that each call produced.
     pub(crate) results_by_call: HashMap<CallKey, Vec<CompactString>>,
-    /// Pieces that were to work on results that were gone.
+    /// The number of pieces that were sent with inputs that were gone.
     pub(crate) missing_inputs: usize,
-    /// How often an upstream was asked for its room.
+    /// The number of queries for free storage.
     pub(crate) storage_queries: u32,
     result_bytes: u64,
     due: BTreeMap<(MonoTime, u64), BatchCall>,
-    numbers: u64,
+    last_id: u64,
     lost_results: HashSet<CompactString>,
-    /// Upstreams that take a call each time so long, and when the next one.
-    pub(crate) limited: HashMap<CompactString, (Duration, MonoTime)>,
+    /// The upstreams with a rate limit: the interval between calls, and when the next is accepted.
+    pub(crate) rate_limited: HashMap<CompactString, (Duration, MonoTime)>,
 }
 
 pub(crate) fn name(text: &str) -> Name {
@@ -68,31 +69,31 @@
 }
 
 impl Simulation {
-    /// A world whose results have `bytes` each.
+    /// A simulation with the given services, whose results have `bytes` bytes each.
     pub(crate) fn new(services: &[&str], bytes: u64) -> Simulation {
-        let mut desk = StageScheduler::default();
+        let mut scheduler = StageScheduler::default();
         for service in services {
-            desk.set_upstreams(MonoTime::ZERO, service, SPEC, upstreams(service, &[1, 2]));
+            scheduler.set_upstreams(MonoTime::ZERO, service, SPEC, upstreams(service, &[1, 2]));
         }
         Simulation {
-            scheduler: desk,
+            scheduler,
             now: MonoTime::from_millis(1_000),
             calls: Vec::new(),
             finished: HashMap::new(),
             stored: HashMap::new(),
-            silent: HashSet::new(),
+            unresponsive: HashSet::new(),
             results_by_call: HashMap::new(),
             missing_inputs: 0,
             storage_queries: 0,
             result_bytes: bytes,
             due: BTreeMap::new(),
-            numbers: 0,
+            last_id: 0,
             lost_results: HashSet::new(),
-            limited: HashMap::new(),
+            rate_limited: HashMap::new(),
         }
     }
 
-    /// A job of one chain of stages, with `pieces` in each.
+    /// A job with one chain of stages, each given by its service and number of pieces.
     pub(crate) fn chain(&self, id: u64, stages: &[(&str, usize)], objective_ms: u64) -> StageJob {
         let chain = stages
             .iter()
@@ -117,11 +118,11 @@
 
     pub(crate) fn submit(&mut self, job: StageJob) -> Result<JobKey, JobFailure> {
         let key = self.scheduler.submit(self.now, job)?;
-        self.pump();
+        self.step();
         Ok(key)
     }
 
-    /// Takes the results at an upstream away, as its end would.
+    /// Loses the results at an upstream, as its crash would.
     #[allow(dead_code, reason = "not every test file loses results")]
     pub(crate) fn lose_results(&mut self, upstream: &str) {
         let lost = self.stored.extract_if(|_, (at, _)| at == upstream);
@@ -129,7 +130,7 @@
         self.lost_results.extend(lost);
     }
 
-    /// Runs until `ms` later.
+    /// Runs the simulation for `ms` milliseconds.
     pub(crate) fn run(&mut self, ms: u64) {
         let end = self.now + Duration::from_millis(ms);
         while self.now < end {
@@ -138,28 +139,28 @@
                 && entry.key().0 <= self.now
             {
                 let call = entry.remove();
-                let result = self.work(&call);
+                let result = self.process_call(&call);
                 self.scheduler.complete_call(self.now, call.key, result);
             }
-            self.pump();
+            self.step();
         }
     }
 
-    fn pump(&mut self) {
+    fn step(&mut self) {
         self.scheduler.expire(self.now);
-        for question in self.scheduler.storage_queries(self.now) {
-            let used = self.used(&question.upstream);
-            let free = SPEC.room_bytes.saturating_sub(used);
+        for query in self.scheduler.storage_queries(self.now) {
+            let stored_bytes = self.stored_bytes(&query.upstream);
+            let free = SPEC.room_bytes.saturating_sub(stored_bytes);
             self.storage_queries += 1;
-            let told = StorageReport {
+            let report = StorageReport {
                 free_bytes: free,
                 start: UpstreamStart::UNTOLD,
             };
             self.scheduler
-                .record_storage_report(self.now, &question, Some(told));
+                .record_storage_report(self.now, &query, Some(report));
         }
         while let Some(call) = self.scheduler.next_call(self.now) {
-            if let Some((every, next)) = self.limited.get_mut(&call.upstream) {
+            if let Some((every, next)) = self.rate_limited.get_mut(&call.upstream) {
                 let wait = next.since(self.now);
                 if !wait.is_zero() {
                     let withheld = CallResult::Withheld(wait);
@@ -168,32 +169,33 @@
                 }
                 *next = self.now + *every;
             }
-            self.numbers += 1;
-            let took = match self.silent.contains(&call.upstream) {
+            self.last_id += 1;
+            let duration = match self.unresponsive.contains(&call.upstream) {
                 true => call.timeout,
                 false => SPEC.call_time(call.pieces.len()),
             };
             self.due
-                .insert((self.now + took, self.numbers), call.clone());
+                .insert((self.now + duration, self.last_id), call.clone());
             self.calls.push((self.now, call));
         }
-        for end in self.scheduler.take_finished() {
-            self.finished.insert(end.key, (self.now, end.outcome));
+        for job in self.scheduler.take_finished() {
+            self.finished.insert(job.key, (self.now, job.outcome));
         }
         for handle in self.scheduler.take_unused_results() {
             self.stored.remove(&handle);
         }
     }
 
-    /// Bytes of results that lie at an upstream.
-    fn used(&self, upstream: &str) -> u64 {
-        let used = self.stored.values().filter(|(at, _)| *at == upstream);
-        used.map(|(_, bytes)| bytes).sum()
+    /// Bytes of the results that are stored at an upstream.
+    fn stored_bytes(&self, upstream: &str) -> u64 {
+        let stored_bytes = self.stored.values().filter(|(at, _)| *at == upstream);
+        stored_bytes.map(|(_, bytes)| bytes).sum()
     }
 
-    /// What an upstream answers; checks what it was asked.
-    fn work(&mut self, call: &BatchCall) -> CallResult {
-        if self.silent.contains(&call.upstream) {
+    /// Returns the answer of an upstream to a call. Fails the test if a piece lacks inputs, or if
+    /// results exceed the storage of the upstream.
+    fn process_call(&mut self, call: &BatchCall) -> CallResult {
+        if self.unresponsive.contains(&call.upstream) {
             return CallResult::Failed;
         }
         let mut results = Vec::new();
@@ -206,29 +208,29 @@
                     continue;
                 }
             }
-            self.numbers += 1;
-            let handle = format_compact!("{}/{}", call.upstream, self.numbers);
-            let place = (call.upstream.clone(), self.result_bytes);
-            self.stored.insert(handle.clone(), place);
+            self.last_id += 1;
+            let handle = format_compact!("{}/{}", call.upstream, self.last_id);
+            let location = (call.upstream.clone(), self.result_bytes);
+            self.stored.insert(handle.clone(), location);
             self.results_by_call
                 .entry(call.key)
                 .or_default()
                 .push(handle.clone());
             results.push(PieceResult::Done(handle));
         }
-        let used = self.used(&call.upstream);
+        let stored_bytes = self.stored_bytes(&call.upstream);
         assert!(
-            used <= SPEC.room_bytes,
-            "{used} bytes lie at {}",
+            stored_bytes <= SPEC.room_bytes,
+            "{stored_bytes} bytes are stored at {}",
             call.upstream
         );
         CallResult::Answered(results)
     }
 }
 
-/// Upstreams of a service; the odd ones stand in zone `a`, the others in `b`.
+/// Upstreams of a service. Those with odd numbers are in zone `a`, the others in `b`.
 pub(crate) fn upstreams(service: &str, numbers: &[u16]) -> impl Iterator<Item = StageUpstream> {
-    let made: Vec<StageUpstream> = numbers
+    let upstreams: Vec<StageUpstream> = numbers
         .iter()
         .map(|n| {
             let zone = if n % 2 == 1 { "a" } else { "b" };
@@ -240,5 +242,5 @@
             }
         })
         .collect();
-    made.into_iter()
+    upstreams.into_iter()
 }
--- a/crates/serving/tests/stages.rs
+++ b/crates/serving/tests/stages.rs
@@ -1,4 +1,4 @@
-//! How pieces of stages are gathered into calls, replayed in virtual time.
+//! Batching of pieces of stages into calls, in virtual time.
 
 #![allow(clippy::expect_used, clippy::panic)]
 
@@ -25,22 +25,21 @@
 }
 
 #[test]
-fn a_lone_job_waits_for_nobody() {
+fn a_single_job_is_sent_at_once() {
     let mut sim = Simulation::new(&["first", "second"], 10);
-    let key = sim.submit(sim.chain(1, &CHAIN, 3_000)).expect("taken");
+    let key = sim.submit(sim.chain(1, &CHAIN, 3_000)).expect("accepted");
     sim.run(600);
     assert_eq!(result_count(&sim, key), 4);
 }
 
-/// The load that batching answers: far more pieces than calls. Bound to an
-/// upstream as they come, each would make a call of its own and a queue of
-/// seconds; bound when one is free, they share calls.
+/// If pieces were assigned to an upstream on arrival, each would need a call of its own, and calls
+/// would queue for seconds. Assigned when an upstream is available, they share calls.
 #[test]
 fn calls_fill_as_load_grows() {
     let mut sim = Simulation::new(&["first"], 10);
     for id in 0..200 {
         sim.submit(sim.chain(id, &[("first", 1)], 8_000))
-            .expect("taken");
+            .expect("accepted");
         sim.run(20);
     }
     sim.run(1_000);
@@ -48,14 +47,14 @@
     assert!(sim.calls.len() < 40, "{} calls", sim.calls.len());
 }
 
-/// Karrabin's first stage makes results of which fifteen have room. The world
-/// fails the test when more lie at an upstream than it has room for.
+/// Fifteen results of karrabin's first stage fill the storage of an upstream. The simulation fails
+/// the test when results exceed the storage.
 #[test]
-fn results_never_take_more_room_than_there_is() {
+fn results_never_exceed_the_storage() {
     let mut sim = Simulation::new(&["first", "second"], 190);
     let mut keys = Vec::new();
     for id in 0..30 {
-        keys.push(sim.submit(sim.chain(id, &CHAIN, 60_000)).expect("taken"));
+        keys.push(sim.submit(sim.chain(id, &CHAIN, 60_000)).expect("accepted"));
     }
     for _ in 0..100 {
         sim.run(100);
@@ -66,28 +65,27 @@
     assert!(keys.iter().all(|k| sim.finished.contains_key(k)));
 }
 
-/// With little room left each call held one to three pieces and took nearly as
-/// long as a full one, so results lay longer and room got scarcer still: a
-/// burst ended in seconds of refusals although engines were half idle.
+/// With little free storage, each call held one to three pieces and took nearly as long as a full
+/// one. Results were stored longer and storage got scarcer still: after a burst, requests were
+/// refused for seconds although engines were half idle.
 #[test]
-fn a_call_that_is_scant_for_want_of_room_waits() {
+fn a_small_call_waits_for_storage() {
     let mut sim = Simulation::new(&["first"], 190);
     for id in 0..8 {
         sim.submit(sim.chain(id, &[("first", 4)], 60_000))
-            .expect("taken");
+            .expect("accepted");
     }
     sim.run(2_000);
     let scant = sim.calls.iter().filter(|(_, c)| c.pieces.len() < 4);
     assert_eq!(scant.count(), 0);
 }
 
-/// An upstream ends with the results that it kept. The pieces that work on them
-/// fail at once; asked for again they would fail for ever, and asked for
-/// without their inputs they would be made from nothing.
+/// An upstream crashes and its results are lost. Pieces that need them fail at once. Sent again
+/// with the same inputs, they would fail forever; sent without, they would run on no input.
 #[test]
-fn results_that_are_gone_are_made_again() {
+fn lost_results_are_produced_again() {
     let mut sim = Simulation::new(&["first", "second"], 10);
-    let key = sim.submit(sim.chain(1, &CHAIN, 5_000)).expect("taken");
+    let key = sim.submit(sim.chain(1, &CHAIN, 5_000)).expect("accepted");
     sim.run(265);
     sim.lose_results("first-1");
     sim.lose_results("first-2");
@@ -95,17 +93,17 @@
     assert_eq!(result_count(&sim, key), 4);
 }
 
-/// A dark upstream keeps its pieces until patience ends; they go elsewhere
-/// then, and it is left alone for a while instead of taking the next ones.
+/// An unresponsive upstream keeps its pieces until the time-out. They are then sent to another
+/// upstream, and this one gets no new pieces for a while.
 #[test]
-fn pieces_of_a_silent_upstream_go_elsewhere() {
+fn pieces_of_an_unresponsive_upstream_are_sent_to_another() {
     let mut sim = Simulation::new(&["first"], 10);
-    sim.silent.insert("first-1".into());
+    sim.unresponsive.insert("first-1".into());
     let mut keys = Vec::new();
     for id in 0..4 {
         keys.push(
             sim.submit(sim.chain(id, &[("first", 2)], 5_000))
-                .expect("taken"),
+                .expect("accepted"),
         );
         sim.run(10);
     }
@@ -117,18 +115,18 @@
     assert!(asked.count() <= 2);
 }
 
-/// A burst of the least urgent kind must not make the most urgent late.
+/// A burst of the least urgent requests must not make the most urgent one late.
 #[test]
-fn a_burst_of_the_less_urgent_delays_the_more_urgent_little() {
+fn a_burst_of_less_urgent_jobs_hardly_delays_an_urgent_one() {
     let mut sim = Simulation::new(&["first"], 1);
     for id in 0..60 {
         let mut job = sim.chain(id, &[("first", 1)], 2_000);
         job.priority = 2;
-        sim.submit(job).expect("taken");
+        sim.submit(job).expect("accepted");
     }
     let urgent = sim
         .submit(sim.chain(99, &[("first", 1)], 2_000))
-        .expect("taken");
+        .expect("accepted");
     let began = sim.now;
     sim.run(3_000);
     let (ended, _) = &sim.finished[&urgent];
@@ -136,21 +134,21 @@
     assert!(ended.since(began) <= full * 2 + Duration::from_millis(20));
 }
 
-/// Once a burst has made everything late, serving the latest first makes the
-/// next one late as well. What can still be in time goes first.
+/// After a burst has made all jobs late, serving the latest ones first would make the next one late
+/// as well. Jobs that can still be on time go first.
 #[test]
-fn what_can_be_in_time_goes_before_what_is_late() {
+fn jobs_that_can_be_on_time_precede_late_ones() {
     let mut sim = Simulation::new(&["first"], 1);
     for id in 0..100 {
         let mut late = sim.chain(id, &[("first", 1)], 900);
-        // Its caller waits long enough for it to be taken.
+        // Its caller waits long enough for the job to be accepted.
         late.deadline = sim.now + Duration::from_secs(60);
-        sim.submit(late).expect("taken");
+        sim.submit(late).expect("accepted");
     }
     sim.run(1_200);
     let fresh = sim
         .submit(sim.chain(999, &[("first", 1)], 1_200))
-        .expect("taken");
+        .expect("accepted");
     let objective = sim.now + Duration::from_millis(1_200);
     sim.run(4_000);
     let (ended, outcome) = &sim.finished[&fresh];
@@ -158,19 +156,18 @@
     assert!(*ended <= objective);
 }
 
-/// A burst of twice what the upstreams can do, for as long as several calls. In
-/// the order of their deadlines all requests waited until they were just too
-/// late, the most urgent among them: of two kinds that share the services, none
-/// of either was in time. Now what the most urgent kind needs is kept free.
+/// In a burst of twice the upstreams' capacity, for the duration of several calls, all requests
+/// waited until they were just too late when served in the order of their deadlines: of two kinds
+/// that share the services, none was on time. Capacity for the most urgent kind is kept free.
 #[test]
-fn a_burst_beyond_capacity_leaves_the_urgent_in_time() {
+fn urgent_jobs_are_on_time_in_a_burst_beyond_capacity() {
     let mut sim = Simulation::new(&["first", "second"], 1);
     let mut urgent = Vec::new();
     for id in 0..150 {
         let mut job = sim.chain(id, &CHAIN, 2_000);
         job.priority = if id % 3 == 0 { 0 } else { 2 };
         let objective = job.objective;
-        // One that is refused at once is not held, and may come again.
+        // A job that is refused at once does not wait, and may be retried.
         if let (Ok(key), 0) = (sim.submit(job.clone()), job.priority) {
             urgent.push((key, objective));
         }
@@ -184,11 +181,10 @@
     assert_eq!((in_time.count(), urgent.len()), (50, 50));
 }
 
-/// Held until its deadline and refused then, a request has cost its caller all
-/// of its time. What would end too late is refused when it comes, with when
-/// there will be room.
+/// A request that is refused only at its deadline has cost its caller all of its time. A request
+/// that would end too late is refused on arrival, with the time until a retry may succeed.
 #[test]
-fn what_would_end_too_late_is_refused_at_once() {
+fn jobs_that_would_end_too_late_are_refused_at_once() {
     let mut sim = Simulation::new(&["first"], 1);
     let mut refused = 0;
     for id in 0..200 {
@@ -196,7 +192,7 @@
             Ok(_) => {}
             Err(JobFailure::WouldMiss(wait)) => {
                 refused += 1;
-                // Of 3.6 s that its caller waits 30 in 100, less its own call.
+                // 30 percent of the 3.6 s that its caller waits, less its own call.
                 assert!(wait > Duration::from_millis(800));
             }
             Err(other) => panic!("{other:?}"),
@@ -206,21 +202,21 @@
     sim.run(5_000);
     assert!(
         sim.finished.values().all(|(_, o)| o.is_ok()),
-        "no promise broken"
+        "an accepted job failed"
     );
 }
 
-/// A stronger instance starts and fills the batches from then on. The one before
-/// it went on with a backlog of seconds: both sent calls to the same upstreams,
-/// which refused them, and results were gone before they were read.
+/// A stronger instance starts and becomes the owner. If the previous owner goes on with a backlog
+/// of seconds, both send calls to the same upstreams, which reject them as full, and results are
+/// gone before they are read.
 #[test]
-fn an_owner_that_is_replaced_hands_over_what_it_has_not_begun() {
+fn a_replaced_owner_hands_over_unstarted_jobs() {
     let mut sim = Simulation::new(&["first", "second"], 1);
     let mut keys = Vec::new();
     for id in 0..40 {
         let mut job = sim.chain(id, &CHAIN, 2_000);
         job.deadline = sim.now + Duration::from_secs(60);
-        keys.push(sim.submit(job).expect("taken"));
+        keys.push(sim.submit(job).expect("accepted"));
     }
     sim.run(100);
     sim.scheduler.hand_over();
@@ -228,20 +224,20 @@
     let (moved, done): (Vec<JobKey>, Vec<JobKey>) = keys
         .into_iter()
         .partition(|k| sim.finished[k].1 == Err(JobFailure::Moved));
-    // Each of two upstreams was asked for the first piece that came.
+    // Each of the two upstreams was sent the first piece that arrived.
     assert_eq!((moved.len(), done.len()), (38, 2));
     assert!(done.iter().all(|k| sim.finished[k].1.is_ok()));
     assert!(moved.iter().all(|k| sim.finished[k].0 <= sim.now));
 }
 
-/// Guards against requests that wait for good at an owner which was replaced, since it looks
-/// only at desks where something waits.
+/// The gateway processes only schedulers with pending work. If a replaced owner does not report
+/// handed-over jobs as pending work, their requests wait forever.
 #[test]
-fn what_is_handed_over_is_told_though_nothing_waits_any_more() {
+fn handed_over_jobs_count_as_pending_work() {
     let mut sim = Simulation::new(&["first"], 1);
     for id in 0..3 {
         let job = sim.chain(id, &[("first", 1)], 2_000);
-        sim.submit(job).expect("taken");
+        sim.submit(job).expect("accepted");
     }
     sim.scheduler.hand_over();
     assert!(sim.scheduler.has_pending_work());
@@ -249,13 +245,13 @@
     assert!(!sim.scheduler.has_pending_work());
 }
 
-/// A request whose stages wait is found to end upstreams. Its pieces were still asked for,
-/// by the owner that fills calls for all instances; the others' are done.
+/// A request is found to crash upstreams while its stages wait. The owner must not send any more of
+/// its pieces, and those of other requests are done.
 #[test]
-fn stages_of_a_quarantined_request_are_given_up() {
+fn stages_of_a_quarantined_request_are_dropped() {
     let mut sim = Simulation::new(&["first", "second"], 1);
-    let bad = sim.submit(sim.chain(1, &CHAIN, 5_000)).expect("taken");
-    let good = sim.submit(sim.chain(2, &CHAIN, 5_000)).expect("taken");
+    let bad = sim.submit(sim.chain(1, &CHAIN, 5_000)).expect("accepted");
+    let good = sim.submit(sim.chain(2, &CHAIN, 5_000)).expect("accepted");
     sim.run(100);
     let (known, content) = (sim.now, Content::from_number(1));
     let left = Duration::from_secs(600);
@@ -269,12 +265,11 @@
     assert!(pieces.all(|p| p.content != content));
 }
 
-/// A caller leaves: nothing of its request is worked on any more, and its
-/// results make room.
+/// After its caller has left, no pieces of a job are sent any more, and its results are released.
 #[test]
 fn a_cancelled_job_leaves_nothing_behind() {
     let mut sim = Simulation::new(&["first", "second"], 10);
-    let key = sim.submit(sim.chain(1, &CHAIN, 5_000)).expect("taken");
+    let key = sim.submit(sim.chain(1, &CHAIN, 5_000)).expect("accepted");
     sim.run(300);
     sim.scheduler.cancel(key);
     sim.run(2_000);
@@ -283,14 +278,14 @@
     assert_eq!(sim.calls.len(), 2);
 }
 
-/// Every piece reads all of its inputs. In another zone than these, one stage
-/// of one request moved a megabyte between zones.
+/// Every piece reads all of its inputs. One stage of one request that ran in another zone than its
+/// inputs moved a megabyte between zones.
 #[test]
-fn a_stage_is_done_where_its_inputs_lie() {
+fn a_stage_runs_in_the_zone_of_its_inputs() {
     let mut sim = Simulation::new(&["first", "second"], 10);
     let mut job = sim.chain(1, &CHAIN, 5_000);
     job.zone = Some(name("b"));
-    sim.submit(job).expect("taken");
+    sim.submit(job).expect("accepted");
     sim.run(1_500);
     let zones: Vec<bool> = sim
         .calls
@@ -310,14 +305,14 @@
     );
 }
 
-/// An upstream leaves while it works on a call: what it has made still counts,
-/// and nothing new reaches it.
+/// An upstream is removed while it processes a call. Its results still count, and it gets no new
+/// calls.
 #[test]
-fn an_upstream_that_left_gets_nothing_new() {
+fn a_removed_upstream_gets_no_new_calls() {
     let mut sim = Simulation::new(&["first"], 10);
     let key = sim
         .submit(sim.chain(1, &[("first", 2)], 5_000))
-        .expect("taken");
+        .expect("accepted");
     sim.run(50);
     let used = sim.calls[0].1.upstream.clone();
     let left = if used == "first-1" { 2 } else { 1 };
@@ -326,16 +321,16 @@
     sim.run(500);
     assert_eq!(result_count(&sim, key), 2);
     sim.submit(sim.chain(2, &[("first", 2)], 5_000))
-        .expect("taken");
+        .expect("accepted");
     sim.run(500);
     assert_ne!(sim.calls[1].1.upstream, used);
 }
 
-/// A tag has one large result that only the model reads, beside a chain of three
-/// stages. Made at once it lay there for as long as the chain waited, and large
-/// results of others had no room.
+/// A request has a single stage with one large result that only the model reads, in parallel to a
+/// chain of three stages. If the stage ran at once, its result would be stored for as long as the
+/// chain runs, and large results of other requests would have no space.
 #[test]
-fn a_lone_stage_is_not_done_long_before_the_chain_beside_it() {
+fn a_single_stage_does_not_end_long_before_a_parallel_chain() {
     let mut sim = Simulation::new(&["lone", "first", "second", "third"], 10);
     let mut job = sim.chain(1, &[("first", 1), ("second", 2), ("third", 2)], 5_000);
     let lone = JobStage {
@@ -345,28 +340,28 @@
         result_bytes: 10,
     };
     job.stages.push(lone);
-    let key = sim.submit(job).expect("taken");
+    let key = sim.submit(job).expect("accepted");
     sim.run(2_000);
     assert_eq!(result_count(&sim, key), 3);
     let services: Vec<&str> = sim.calls.iter().map(|(_, c)| c.service.as_str()).collect();
     let place = |service| services.iter().position(|s| *s == service);
     assert!(place("lone") > place("first"));
     assert!(place("lone") < place("third"));
-    // The chain takes 560 ms longer, of which the lone stage waits 60 in 100.
+    // The chain takes 560 ms longer, and the single stage waits 60 percent of that.
     let began = |service| place(service).map(|n| sim.calls[n].0);
-    let first = began("first").expect("asked for");
-    let lone = began("lone").expect("asked for");
+    let first = began("first").expect("sent");
+    let lone = began("lone").expect("sent");
     assert!(lone.since(first) >= Duration::from_millis(300));
 }
 
-/// A deployment's results may be larger than the room planned for. Never sent,
-/// the request would wait for its whole deadline in vain.
+/// A deployment may have results that are larger than the usable storage. If the piece were never
+/// sent, the request would wait until its deadline in vain.
 #[test]
-fn a_result_larger_than_the_planned_room_is_tried_alone() {
+fn a_result_larger_than_the_usable_storage_is_tried_alone() {
     let mut sim = Simulation::new(&["first"], 1_990);
     let key = sim
         .submit(sim.chain(1, &[("first", 1)], 3_000))
-        .expect("taken");
+        .expect("accepted");
     sim.run(600);
     assert_eq!(result_count(&sim, key), 1);
 }
