--- a/crates/serving/src/batch_upstream.rs
+++ b/crates/serving/src/batch_upstream.rs
@@ -24,7 +24,7 @@
 const TIMEOUT_FACTOR: f64 = 2.2;
 /// How soon a call that is overdue is expected to end: a fifth of the shortest call.
 const OVERDUE_CALL_WAIT: Duration = Duration::from_millis(30);
-/// What the time-out adds for the network and for scheduling delays of the processes.
+/// Added to the time-out of a call for the network and for scheduling delays of the processes.
 const TIMEOUT_SLACK: Duration = Duration::from_millis(120);
 
 /// An upstream that processes batches, as it is announced.
--- a/crates/serving/src/lib.rs
+++ b/crates/serving/src/lib.rs
@@ -42,6 +42,7 @@
 mod router;
 mod scheduled_job;
 mod scheduler_estimates;
+mod scheduler_failures;
 mod scheduler_restarts;
 mod scheduler_results;
 mod scheduler_storage;
--- a/crates/serving/src/snapshot_kind.rs
+++ b/crates/serving/src/snapshot_kind.rs
@@ -1,6 +1,6 @@
-//! What a full snapshot of the store may lack.
+//! Whether a full snapshot of the store may lack writes.
 
-/// What a full snapshot of the store may lack.
+/// Whether a full snapshot of the store may lack writes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SnapshotKind {
     /// The snapshot includes every acknowledged write.
--- a/crates/serving/src/untracked_storage.rs
+++ b/crates/serving/src/untracked_storage.rs
@@ -14,10 +14,10 @@
 /// The storage at one upstream that is occupied by results which this scheduler does not track.
 ///
 /// After all instances are killed and restarted, results of the dead instances stay at the
-/// upstreams for seconds. Nobody can release them, and the new owner tracks none of them, so
-/// upstreams would process pieces and then reject the results for lack of storage, at the full
-/// cost of a call. An upstream reports its free storage on request, so it is polled for as long
-/// as untracked results may be stored there.
+/// upstreams for seconds. No instance can release them, and the new owner tracks none of them. For
+/// as long, upstreams would process pieces and then reject the results for lack of storage, at the
+/// full cost of a call. An upstream reports its free storage on request, so it is polled while
+/// untracked results may be stored there.
 #[derive(Debug)]
 pub(crate) struct UntrackedStorage {
     bytes: u64,
--- a/crates/serving/tests/growth.rs
+++ b/crates/serving/tests/growth.rs
@@ -234,7 +234,7 @@
     }
     assert!(queries.len() <= 16 * 3, "{} read the store", queries.len());
     let most = queries.values().max().copied().unwrap_or_default();
-    assert!(most <= instances / 12, "one tells {most}");
+    assert!(most <= instances / 12, "one serves {most}");
 }
 
 /// A starting instance must not query dead sources forever, or only the same one.
--- a/crates/serving/tests/worst_load.rs
+++ b/crates/serving/tests/worst_load.rs
@@ -14,8 +14,8 @@
 use stage_simulation::Simulation;
 use stage_simulation::name;
 
-/// All instances were killed. Their results fill both upstreams for another two seconds, and nobody
-/// can release them. If the new owner does not count them, hundreds of pieces are processed and
+/// All instances were killed. Their results fill both upstreams for another two seconds, and cannot
+/// be released. If the new owner does not count them, hundreds of pieces are processed and
 /// then rejected for lack of storage. The simulation fails the test when results exceed the
 /// storage.
 #[test]
