--- a/crates/gateway/src/limiters.rs
+++ b/crates/gateway/src/limiters.rs
@@ -7,9 +7,9 @@
 
 use compact_str::CompactString;
 use jd_net::lock;
-use jd_net::within;
+use jd_net::with_timeout;
 use jd_serving::LimitNotice;
-use jd_serving::LimiterPart;
+use jd_serving::LimiterShare;
 use jd_serving::RateLimiter;
 use jd_serving::Shard;
 use jd_types::MonoTime;
@@ -50,17 +50,23 @@
 impl Limiters {
     /// Decides here on a permit for an upstream, by its identity. One that names no limit
     /// any more needs none.
-    pub(crate) fn acquire(&self, state: &State, id: &str, priority: u8) -> Result<(), Duration> {
+    pub(crate) fn acquire_local(
+        &self,
+        state: &State,
+        id: &str,
+        priority: u8,
+    ) -> Result<(), Duration> {
         let now = state.now();
         let Some(rate) = state.limits.limit(id) else {
             return Ok(());
         };
         let address = state.upstreams.load().address_of(id);
         let shard = address.map(shard_of);
-        let first = shard.is_some_and(|s| state.owner_order(&s).first() == Some(&state.me.peers));
+        let first = shard
+            .is_some_and(|s| state.owner_order(&s).first() == Some(&state.own_entry.peer_address));
         let part = match first {
-            true => LimiterPart::Whole,
-            false => LimiterPart::Quarter,
+            true => LimiterShare::Whole,
+            false => LimiterShare::Quarter,
         };
         let mut own = lock(&self.own);
         if own.len() > MANY {
@@ -81,7 +87,7 @@
 
     /// Asks the instance that gives out permits for an upstream; how long until a turn
     /// comes, if it has none.
-    pub(crate) async fn ask(
+    pub(crate) async fn acquire(
         &self,
         state: &State,
         upstream: &UpstreamRef,
@@ -90,22 +96,22 @@
     ) -> Result<(), Duration> {
         let order = state.owner_order(&shard_of(upstream.address));
         for limiter in order {
-            if limiter == state.me.peers {
-                return self.acquire(state, &upstream.upstream, priority);
+            if limiter == state.own_entry.peer_address {
+                return self.acquire_local(state, &upstream.id, priority);
             }
             if self.is_silent(state.now(), limiter) {
                 continue;
             }
-            let channel = state.channels.to(limiter);
+            let channel = state.channels.channel_to(limiter);
             let mut client = GatewayClient::new(channel.clone());
             let req = peer_limits::permit_request(upstream, notice, priority, state.now());
-            match within(ASK_WITHIN, client.acquire_permit(req)).await {
-                Some(Ok(reply)) => return peer_limits::decision_of(state, reply.into_inner()),
+            match with_timeout(ASK_WITHIN, client.acquire_permit(req)).await {
+                Some(Ok(reply)) => return peer_limits::permit_decision(state, reply.into_inner()),
                 Some(Err(_)) => {}
                 // The connection may be silent for good while new ones work.
                 None => channel.reset(),
             }
-            log::warn!(limiter:% = limiter, upstream = upstream.upstream.as_str(); "instance that gives out permits is silent");
+            log::warn!(limiter:% = limiter, upstream = upstream.id.as_str(); "instance that gives out permits is silent");
             state.metrics.permit("silent");
             lock(&self.silent).insert(limiter, state.now());
         }
--- a/crates/gateway/src/peer_news.rs
+++ b/crates/gateway/src/peer_replication.rs
@@ -6,11 +6,11 @@
 use bytes::Bytes;
 use futures_lite::FutureExt;
 use jd_net::lock;
-use jd_serving::News;
 use jd_serving::Proof;
-use jd_serving::SourceState;
+use jd_serving::SourceHealth;
 use jd_serving::StoreItem;
 use jd_serving::StoreRevision;
+use jd_serving::StoreUpdate;
 use jd_types::Incarnation;
 use jd_types::MonoTime;
 use jd_wire::FollowReply;
@@ -31,21 +31,21 @@
 
 /// What another instance knows of the store.
 #[derive(Debug)]
-pub(crate) struct Heard {
+pub(crate) struct SourceReply {
     /// In the order in which it is to be taken in.
-    pub(crate) news: Vec<News>,
+    pub(crate) news: Vec<StoreUpdate>,
     pub(crate) proof: Option<Proof>,
     /// True while the store does not answer it.
     pub(crate) store_away: bool,
 }
 
 /// The question for another's news, by what is known here.
-pub(crate) fn question(state: &State, id: Incarnation, wait: Duration) -> FollowRequest {
+pub(crate) fn follow_request(state: &State, id: Incarnation, wait: Duration) -> FollowRequest {
     let now = state.now();
-    let knowledge = state.knowledge();
-    let after = knowledge.mirror.revision();
-    let knows_away = knowledge.source_state(now, id) == SourceState::StoreAway;
-    drop(knowledge);
+    let cluster = state.cluster();
+    let after = cluster.mirror.revision();
+    let knows_away = cluster.source_health(now, id) == SourceHealth::StoreUnavailable;
+    drop(cluster);
     FollowRequest {
         after: after.revision,
         after_era: after.era,
@@ -58,15 +58,15 @@
 }
 
 /// Reads the answer to a question that was sent at `sent`; none if it is damaged.
-pub(crate) fn heard(sent: MonoTime, reply: FollowReply) -> Option<Heard> {
+pub(crate) fn decode_reply(sent: MonoTime, reply: FollowReply) -> Option<SourceReply> {
     // The question came after it was sent and was answered that much later, so
     // what the proof tells of was asked then less its age or later.
     let answered = sent + Duration::from_millis(u64::from(reply.waited_ms));
     let all = match reply.packed.as_slice() {
         [] => None,
         packed => match jd_wire::unpack(packed) {
-            Ok(items) => Some(News {
-                whole: true,
+            Ok(items) => Some(StoreUpdate {
+                is_full: true,
                 items: items_of(items),
                 revision: at(reply.packed_era, reply.packed_revision),
             }),
@@ -76,12 +76,12 @@
             }
         },
     };
-    let newer = News {
-        whole: reply.whole,
+    let newer = StoreUpdate {
+        is_full: reply.whole,
         items: items_of(reply.items),
         revision: at(reply.era, reply.revision),
     };
-    Some(Heard {
+    Some(SourceReply {
         news: all.into_iter().chain([newer]).collect(),
         proof: reply.proof.map(|p| proof_at(answered, p)),
         store_away: reply.store_away,
@@ -111,17 +111,17 @@
 
 /// All records, packed once for many.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct PackedNews {
+pub(crate) struct PackedSnapshot {
     revision: StoreRevision,
     bytes: Bytes,
 }
 
 /// What is told to instances that start.
 #[derive(Debug, Default)]
-pub(crate) struct PackedPieces {
-    latest: PackedNews,
+pub(crate) struct PackedSnapshots {
+    latest: PackedSnapshot,
     /// The one before, for those that have a part of it.
-    earlier: PackedNews,
+    earlier: PackedSnapshot,
 }
 
 /// All records, packed, for somebody who knows only what was up to `after`; none if
@@ -131,27 +131,27 @@
 /// megabyte from the store, 2.7 s of its link at 300 instances.
 ///
 /// One who `has` a part of the piece that was packed before is told the rest of it.
-fn packed(state: &State, after: StoreRevision, has: StoreRevision) -> Option<PackedNews> {
+fn packed(state: &State, after: StoreRevision, has: StoreRevision) -> Option<PackedSnapshot> {
     let mut pieces = lock(&state.packed);
-    let knowledge = state.knowledge();
-    let mirror = &knowledge.mirror;
-    if mirror.revision() == StoreRevision::NOTHING || !mirror.is_behind(after) {
+    let cluster = state.cluster();
+    let mirror = &cluster.mirror;
+    if mirror.revision() == StoreRevision::ZERO || !mirror.needs_full_update(after) {
         return None;
     }
-    let PackedPieces { latest, earlier } = &*pieces;
-    if has == earlier.revision && !earlier.bytes.is_empty() && !mirror.is_behind(has) {
+    let PackedSnapshots { latest, earlier } = &*pieces;
+    if has == earlier.revision && !earlier.bytes.is_empty() && !mirror.needs_full_update(has) {
         return Some(earlier.clone());
     }
     let packed = latest;
-    let is_old = mirror.is_behind(packed.revision)
-        || mirror.written_after(packed.revision) > mirror.records() / PACKED_BEHIND
+    let is_old = mirror.needs_full_update(packed.revision)
+        || mirror.written_after(packed.revision) > mirror.record_count() / PACKED_BEHIND
         || packed.bytes.is_empty();
     if is_old {
-        let all = mirror.since(StoreRevision::NOTHING);
-        drop(knowledge);
+        let all = mirror.updates_since(StoreRevision::ZERO);
+        drop(cluster);
         match jd_wire::pack(wire_items(all.items)) {
             Ok(bytes) => {
-                let latest = PackedNews {
+                let latest = PackedSnapshot {
                     revision: all.revision,
                     bytes: bytes.into(),
                 };
@@ -171,15 +171,15 @@
 ///
 /// Guards against a chain of instances that have all lost it: each was asked in turn and
 /// told after the whole wait, so that a zone was five seconds behind the store.
-pub(crate) async fn answer(state: &State, req: FollowRequest) -> FollowReply {
+pub(crate) async fn handle_follow(state: &State, req: FollowRequest) -> FollowReply {
     let came = state.now();
-    if at(req.after_era, req.after) == StoreRevision::NOTHING && !state.has_read() {
-        state.all_wanted.give();
+    if at(req.after_era, req.after) == StoreRevision::ZERO && !state.store_loaded() {
+        state.snapshot_requested.notify();
     }
     let until = came + Duration::from_millis(u64::from(req.wait_ms));
     let away = req.knows_away;
     loop {
-        let news = state.news.listen();
+        let news = state.changes.listen();
         let left = until.since(state.now());
         if left.is_zero() || is_news(state, came, &req, away) {
             break;
@@ -201,10 +201,13 @@
         ..FollowReply::default()
     };
     if jd_wire::put_part(&mut reply, &packed.bytes, &req) {
-        let news = state.knowledge().mirror.since(asked.max(packed.revision));
+        let news = state
+            .cluster()
+            .mirror
+            .updates_since(asked.max(packed.revision));
         reply.revision = news.revision.revision;
         reply.era = news.revision.era;
-        reply.whole = news.whole;
+        reply.whole = news.is_full;
         reply.items = wire_items(news.items);
     }
     reply
@@ -214,24 +217,24 @@
     if state.has_lost_store() != away {
         return true;
     }
-    let knowledge = state.knowledge();
-    let theirs = req.proof.map(|p| proof_at(came, p).asked);
+    let cluster = state.cluster();
+    let theirs = req.proof.map(|p| proof_at(came, p).asked_at);
     // It counts there only if it is of the same era.
-    let ours = knowledge.freshness.proof();
+    let ours = cluster.freshness.proof();
     let ours = ours.filter(|p| p.revision.era == req.after_era);
-    let ours = ours.map(|p| p.asked);
+    let ours = ours.map(|p| p.asked_at);
     let younger = match (ours, theirs) {
         (Some(ours), Some(theirs)) => ours > theirs + YOUNGER_BY,
         (ours, None) => ours.is_some(),
         (None, Some(_)) => false,
     };
-    younger || knowledge.mirror.revision() > at(req.after_era, req.after)
+    younger || cluster.mirror.revision() > at(req.after_era, req.after)
 }
 
 /// The youngest proof of what is in force, with its age.
 pub(crate) fn wire_proof(state: &State) -> Option<WireProof> {
-    let proof = state.knowledge().freshness.proof()?;
-    let age = state.now().since(proof.asked);
+    let proof = state.cluster().freshness.proof()?;
+    let age = state.now().since(proof.asked_at);
     Some(WireProof {
         revision: proof.revision.revision,
         era: proof.revision.era,
@@ -243,7 +246,7 @@
 /// A proof of another instance, whose age counts back from `moment`.
 pub(crate) fn proof_at(moment: MonoTime, proof: WireProof) -> Proof {
     Proof {
-        asked: moment.before(Duration::from_millis(u64::from(proof.ms_ago))),
+        asked_at: moment.before(Duration::from_millis(u64::from(proof.ms_ago))),
         revision: at(proof.era, proof.revision),
     }
 }
--- a/crates/gateway/tests/whole/fakes/harness.rs
+++ b/crates/gateway/tests/whole/fakes/harness.rs
@@ -34,7 +34,7 @@
 
 /// What a caller received.
 #[derive(Debug, PartialEq, Eq)]
-pub(crate) struct Received {
+pub(crate) struct CallerResponse {
     pub(crate) status: u16,
     pub(crate) body: String,
     /// False if the connection broke before the end.
@@ -74,13 +74,16 @@
     }
 
     /// The same with an upstream of the stage before `/staged/`.
-    pub(crate) fn start_staged(replies: Vec<Vec<Reply>>, stage: Vec<Reply>) -> Harness {
+    pub(crate) fn start_with_stage(replies: Vec<Vec<Reply>>, stage: Vec<Reply>) -> Harness {
         let records = vec![Record::Deployment(Box::new(staged_deployment()))];
         Harness::start_services(replies, vec![stage], records)
     }
 
     /// The same with two upstreams of the stage, the last of all.
-    pub(crate) fn start_two_staged(replies: Vec<Vec<Reply>>, stage: Vec<Reply>) -> Harness {
+    pub(crate) fn start_with_two_stage_upstreams(
+        replies: Vec<Vec<Reply>>,
+        stage: Vec<Reply>,
+    ) -> Harness {
         let records = vec![Record::Deployment(Box::new(staged_deployment()))];
         Harness::start_services(replies, vec![stage.clone(), stage], records)
     }
@@ -103,7 +106,12 @@
         for (n, (service, replies)) in pool.chain(stages).enumerate() {
             let (upstream, server) = FakeUpstream::start(&executor, replies);
             let id = format!("i-{n}");
-            records.push(entry(&id, service, server.address(), UpstreamStart::UNTOLD));
+            records.push(entry(
+                &id,
+                service,
+                server.address(),
+                UpstreamStart::UNKNOWN,
+            ));
             upstreams.push(upstream);
             servers.push(server);
         }
@@ -133,13 +141,13 @@
     }
 
     /// Has an upstream's entry say that it stands in another zone.
-    pub(crate) fn place_in_zone(&self, upstream: usize, zone: &str) {
+    pub(crate) fn set_zone(&self, upstream: usize, zone: &str) {
         let zone = Name::try_from(zone).expect("a name");
         self.rewrite_entry(upstream, |entry| entry.zone = zone);
     }
 
     /// Has an upstream's entry say that it is cold.
-    pub(crate) fn make_cold(&self, upstream: usize, left: Duration) {
+    pub(crate) fn set_cold(&self, upstream: usize, left: Duration) {
         self.rewrite_entry(upstream, |entry| entry.cold_left = left);
     }
 
@@ -155,7 +163,7 @@
             &format!("i-{upstream}"),
             "pool",
             address,
-            UpstreamStart::UNTOLD,
+            UpstreamStart::UNKNOWN,
         );
         if let Record::Upstream(entry) = &mut record {
             change(entry);
@@ -188,7 +196,7 @@
     }
 
     /// Ends so many of the gateways that were added, as a loss of power would.
-    pub(crate) fn end_gateways(&mut self, count: usize) {
+    pub(crate) fn kill_gateways(&mut self, count: usize) {
         let kept = self.fleet.len().saturating_sub(count);
         self.fleet.truncate(kept);
     }
@@ -197,9 +205,9 @@
     /// not first ones, or every call if `away`; the store as it sees it.
     pub(crate) fn add_gateway(&mut self, refused_pages: usize, away: bool) -> Arc<FakeStore> {
         let executor = self.workers.executor();
-        let store = Arc::new(self.store.seen_by_another());
-        store.refuse_pages(refused_pages);
-        store.set_away(away);
+        let store = Arc::new(self.store.for_another_instance());
+        store.refuse_next_pages(refused_pages);
+        store.set_unavailable(away);
         let started = start_gateway(&executor, &self.pool, &store);
         self.fleet.push(Member {
             store: Arc::clone(&store),
@@ -228,7 +236,7 @@
 
     /// Waits until two gateways watch the store, and have seen all that it holds.
     pub(crate) async fn until_two_watch(&self) {
-        let watch = |s: &&Arc<FakeStore>| s.watches() > 0 && s.is_seen();
+        let watch = |s: &&Arc<FakeStore>| s.watches() > 0 && s.is_caught_up();
         let all = || self.stores().map(|s| s.watches()).sum::<usize>();
         while self.stores().filter(watch).count() != 2 || all() != 2 {
             Timer::after(Duration::from_millis(5)).await;
@@ -241,7 +249,7 @@
         let watch = |s: &&Arc<FakeStore>| s.watches() > 0;
         let watching: Vec<&Arc<FakeStore>> = self.stores().filter(watch).collect();
         for store in &watching {
-            store.set_away(true);
+            store.set_unavailable(true);
         }
         let added = self.fleet.iter().map(|m| &m.store);
         added
@@ -252,7 +260,7 @@
     /// Has the store answer nothing any more to the gateways that watch it.
     pub(crate) fn silence_watching(&self) {
         for store in self.stores().filter(|s| s.watches() > 0) {
-            store.fall_silent();
+            store.stop_answering();
         }
     }
 
@@ -280,7 +288,7 @@
     /// Waits until instances have written so many entries; who wrote the last of them.
     pub(crate) async fn until_announced(&self, count: usize) -> Incarnation {
         loop {
-            let written = self.store.announced();
+            let written = self.store.announced_instances();
             match written.last() {
                 Some(last) if written.len() >= count => return *last,
                 _ => Timer::after(Duration::from_millis(5)).await,
@@ -300,19 +308,19 @@
     }
 
     /// Sends a request with a credential in force.
-    pub(crate) async fn ask(&self, path: &str, id: &str) -> Received {
+    pub(crate) async fn ask(&self, path: &str, id: &str) -> CallerResponse {
         self.get(self.callers, path, id, "key-1").await
     }
 
     /// Sends a request to one instance of the fleet; numbers go round.
-    pub(crate) async fn ask_instance(&self, n: usize, path: &str, id: &str) -> Received {
+    pub(crate) async fn ask_instance(&self, n: usize, path: &str, id: &str) -> CallerResponse {
         let members = self.fleet.iter().map(|m| m.callers);
         let all: Vec<SocketAddr> = members.chain([self.callers]).collect();
         self.get(all[n % all.len()], path, id, "key-1").await
     }
 
     /// What a counter has reached on all gateways together.
-    pub(crate) async fn counted(&self, counter: &str) -> u64 {
+    pub(crate) async fn counter_total(&self, counter: &str) -> u64 {
         let mut sum = 0;
         let added = self.fleet.iter().map(|m| m.metrics);
         for address in added.chain([self.metrics]) {
@@ -326,12 +334,12 @@
     }
 
     /// Sends a request whose head is at least `bytes` large.
-    pub(crate) async fn ask_with_head(&self, path: &str, bytes: usize) -> Received {
+    pub(crate) async fn ask_with_head(&self, path: &str, bytes: usize) -> CallerResponse {
         self.get(self.callers, path, &"x".repeat(bytes), "key-1")
             .await
     }
 
-    pub(crate) async fn ask_with_key(&self, path: &str, key: &str) -> Received {
+    pub(crate) async fn ask_with_key(&self, path: &str, key: &str) -> CallerResponse {
         self.get(self.callers, path, "x", key).await
     }
 
@@ -343,7 +351,7 @@
         self.workers.spawn(f)
     }
 
-    async fn get(&self, address: SocketAddr, path: &str, id: &str, key: &str) -> Received {
+    async fn get(&self, address: SocketAddr, path: &str, id: &str, key: &str) -> CallerResponse {
         let req = Request::builder()
             .uri(path)
             .header("host", "desk.example")
@@ -362,13 +370,13 @@
         let retry = retry.map(Duration::from_millis);
         let mut body = String::new();
         let whole = loop {
-            match response.part().await {
+            match response.chunk().await {
                 Ok(Some(part)) => body.push_str(&String::from_utf8_lossy(&part)),
                 Ok(None) => break true,
                 Err(_) => break false,
             }
         };
-        Received {
+        CallerResponse {
             status: response.status.as_u16(),
             body,
             whole,
--- a/crates/serving/src/scheduler_storage.rs
+++ b/crates/serving/src/scheduler_storage.rs
@@ -11,7 +11,7 @@
     pub fn storage_queries(&mut self, now: MonoTime) -> Vec<StorageQuery> {
         let mut queries = Vec::new();
         for (service, queue) in &mut self.queues {
-            let keep = queue.spec.keep;
+            let keep = queue.spec.result_ttl;
             let due = queue.upstreams.iter_mut();
             let due = due.filter_map(|u| u.untracked.take_due_query(now, keep).then_some(u));
             queries.extend(due.map(|u| StorageQuery {
--- a/crates/serving/src/stage_scheduler.rs
+++ b/crates/serving/src/stage_scheduler.rs
@@ -115,7 +115,7 @@
         };
         let mut keep = Duration::ZERO;
         if let Some(queue) = self.queues.get_mut(&call.service) {
-            keep = queue.spec.keep;
+            keep = queue.spec.result_ttl;
             if let CallResult::Answered(_) = &result {
                 queue.record_call(now.since(call.started_at), call.configured_time);
             }
--- a/crates/serving/tests/growth.rs
+++ b/crates/serving/tests/growth.rs
@@ -7,8 +7,9 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use jd_serving::FirstSources;
+use jd_serving::BootstrapSources;
 use jd_serving::InstanceEntry;
+use jd_serving::RecentShards;
 use jd_serving::Shard;
 use jd_serving::ShardMap;
 use jd_serving::SnapshotKind;
@@ -19,8 +20,7 @@
 use jd_serving::UpstreamDirectory;
 use jd_serving::UpstreamEntry;
 use jd_serving::UpstreamStart;
-use jd_serving::UsedShards;
-use jd_serving::watched;
+use jd_serving::heartbeat_peers;
 use jd_types::Incarnation;
 use jd_types::MonoTime;
 use jd_types::Name;
@@ -83,7 +83,7 @@
     mirror.apply(changes, rev(records + 3));
     let visited_before = mirror.visited();
     for _ in 0..95 {
-        assert_eq!(mirror.since(rev(records)).items.len(), 3);
+        assert_eq!(mirror.updates_since(rev(records)).items.len(), 3);
     }
     let visited = mirror.visited() - visited_before;
     assert!(visited <= 95 * 6, "{visited} visited");
@@ -98,8 +98,8 @@
     let removed = records / 6;
     let removals = (0..removed).map(|n| removal(n, records + n + 1)).collect();
     mirror.apply(removals, rev(records + removed));
-    let update = mirror.since(rev(records));
-    assert!(!update.whole);
+    let update = mirror.updates_since(rev(records));
+    assert!(!update.is_full);
     assert_eq!(update.items.len() as u64, removed);
 }
 
@@ -142,8 +142,8 @@
     let at = |port: u16| SocketAddr::from(([10, a, b, c], port));
     InstanceEntry {
         incarnation: Incarnation::new(jd_types::spread(u64::from(n)) >> 1),
-        callers: at(80),
-        peers: at(81),
+        caller_address: at(80),
+        peer_address: at(81),
         zone: zone(n),
         strength: match n < strong {
             true => Strength::new(50, 200),
@@ -171,15 +171,15 @@
     for n in (0..instances).step_by(37) {
         let me = &fleet[n as usize];
         let others: Vec<InstanceEntry> = fleet.iter().filter(|e| *e != me).cloned().collect();
-        let mut recent = UsedShards::default();
+        let mut recent = RecentShards::default();
         let at = |s: u32| MonoTime::ZERO + Duration::from_secs(s.into());
         // One request with stages every four seconds at each instance.
         for s in 0..20 {
             let shard = all[(n + s * 7) as usize % all.len()];
-            recent.note(at(s * 4), shard);
+            recent.record_use(at(s * 4), shard);
         }
-        let shards = recent.watched(at(77), &shards);
-        let peers = watched(me, &others, &shards, Some(fleet[0].incarnation));
+        let shards = recent.monitored(at(77), &shards);
+        let peers = heartbeat_peers(me, &others, &shards, Some(fleet[0].incarnation));
         assert!(peers.len() <= 8, "{} peers", peers.len());
         assert!(!peers.contains(&me.incarnation));
     }
@@ -191,21 +191,21 @@
     let fleet: Vec<InstanceEntry> = (0..985).map(|n| instance(n, 50)).collect();
     let zones: Vec<Name> = (0..1_500).map(zone).collect();
     let shards = ShardMap::new(zones.iter().map(|zone| ("rank", zone)));
-    let mut recent = UsedShards::default();
+    let mut recent = RecentShards::default();
     let now = MonoTime::from_micros(1);
     for (n, shard) in shards.shards().enumerate() {
-        assert!(recent.note(now + Duration::from_millis(n as u64), shard));
-        assert!(!recent.note(now + Duration::from_millis(n as u64), shard));
+        assert!(recent.record_use(now + Duration::from_millis(n as u64), shard));
+        assert!(!recent.record_use(now + Duration::from_millis(n as u64), shard));
     }
     let late = now + Duration::from_millis(200);
     let last = shards.shards().last().cloned().expect("a shard");
-    let monitored = recent.watched(late, &shards);
+    let monitored = recent.monitored(late, &shards);
     assert!(monitored.contains(&last));
-    let peers = watched(&fleet[100], &fleet[..100], &monitored, None);
+    let peers = heartbeat_peers(&fleet[100], &fleet[..100], &monitored, None);
     assert!(peers.len() <= 19, "{} peers", peers.len());
     assert!(
         recent
-            .watched(late + Duration::from_secs(6), &shards)
+            .monitored(late + Duration::from_secs(6), &shards)
             .is_empty()
     );
 }
@@ -228,8 +228,8 @@
             "{} read",
             sample.len()
         );
-        let sources = FirstSources::of_sample(me.incarnation, &sample);
-        let first = sources.expect("a large fleet").ask_next();
+        let sources = BootstrapSources::from_sample(me.incarnation, &sample);
+        let first = sources.expect("a large fleet").next_source();
         *queries.entry(first.expect("a source")).or_default() += 1;
     }
     assert!(queries.len() <= 16 * 3, "{} read the store", queries.len());
@@ -241,16 +241,16 @@
 #[test]
 fn unresponsive_sources_are_replaced_by_the_next() {
     let sample: Vec<InstanceEntry> = (0..40).map(|n| instance(n, 3)).collect();
-    let sources = FirstSources::of_sample(Incarnation::new(1), &sample);
+    let sources = BootstrapSources::from_sample(Incarnation::new(1), &sample);
     let mut sources = sources.expect("a large fleet");
     let mut seen = Vec::new();
-    while let Some(source) = sources.ask_next() {
+    while let Some(source) = sources.next_source() {
         assert!(!seen.contains(&source));
         seen.push(source);
-        sources.is_silent(source);
+        sources.remove_unresponsive(source);
     }
     assert!(seen.len() > 2);
-    assert!(FirstSources::of_sample(Incarnation::new(1), &sample[..9]).is_none());
+    assert!(BootstrapSources::from_sample(Incarnation::new(1), &sample[..9]).is_none());
 }
 
 /// Weak instances must not all read the store because a part of the fleet queries them: stronger
@@ -258,11 +258,11 @@
 #[test]
 fn a_weak_instance_leaves_reading_the_store_to_a_stronger_one() {
     let sample: Vec<InstanceEntry> = (0..40).map(|n| instance(n, 3)).collect();
-    let sources = FirstSources::of_sample(Incarnation::new(1), &sample);
+    let sources = BootstrapSources::from_sample(Incarnation::new(1), &sample);
     let sources = sources.expect("a large fleet");
-    assert!(sources.yields_for(sample[0].strength).is_zero());
-    assert!(!sources.yields_for(sample[30].strength).is_zero());
-    let weak = FirstSources::of_sample(Incarnation::new(1), &sample[10..]);
+    assert!(sources.store_read_delay(sample[0].strength).is_zero());
+    assert!(!sources.store_read_delay(sample[30].strength).is_zero());
+    let weak = BootstrapSources::from_sample(Incarnation::new(1), &sample[10..]);
     let weak = weak.expect("a large fleet");
-    assert!(weak.yields_for(sample[30].strength).is_zero());
+    assert!(weak.store_read_delay(sample[30].strength).is_zero());
 }
--- a/crates/serving/tests/stage_simulation/mod.rs
+++ b/crates/serving/tests/stage_simulation/mod.rs
@@ -33,10 +33,10 @@
     slots: 1,
     queue: 2,
     pieces: 10,
-    call: Duration::from_millis(240),
-    piece: Duration::from_millis(20),
+    base_time: Duration::from_millis(240),
+    piece_time: Duration::from_millis(20),
     room_bytes: 2_000,
-    keep: Duration::from_secs(4),
+    result_ttl: Duration::from_secs(4),
 };
 
 /// A scheduler and simulated upstreams.
@@ -154,7 +154,7 @@
             self.storage_queries += 1;
             let report = StorageReport {
                 free_bytes: free,
-                start: UpstreamStart::UNTOLD,
+                start: UpstreamStart::UNKNOWN,
             };
             self.scheduler
                 .record_storage_report(self.now, &query, Some(report));
@@ -236,7 +236,7 @@
             let zone = if n % 2 == 1 { "a" } else { "b" };
             StageUpstream {
                 id: format_compact!("{service}-{n}"),
-                start: UpstreamStart::UNTOLD,
+                start: UpstreamStart::UNKNOWN,
                 address: SocketAddr::from(([127, 0, 0, 1], *n)),
                 zone: name(zone),
             }
