--- a/crates/serving/src/scheduler_storage.rs
+++ b/crates/serving/src/scheduler_storage.rs
@@ -11,9 +11,9 @@
     pub fn storage_queries(&mut self, now: MonoTime) -> Vec<StorageQuery> {
         let mut queries = Vec::new();
         for (service, queue) in &mut self.queues {
-            let keep = queue.spec.result_ttl;
+            let result_ttl = queue.spec.result_ttl;
             let due = queue.upstreams.iter_mut();
-            let due = due.filter_map(|u| u.untracked.take_due_query(now, keep).then_some(u));
+            let due = due.filter_map(|u| u.untracked.take_due_query(now, result_ttl).then_some(u));
             queries.extend(due.map(|u| StorageQuery {
                 service: service.clone(),
                 upstream: u.id.clone(),
--- a/crates/serving/src/stage_scheduler.rs
+++ b/crates/serving/src/stage_scheduler.rs
@@ -113,9 +113,9 @@
         let Some(call) = self.open_calls.remove(&key) else {
             return;
         };
-        let mut keep = Duration::ZERO;
+        let mut result_ttl = Duration::ZERO;
         if let Some(queue) = self.queues.get_mut(&call.service) {
-            keep = queue.spec.result_ttl;
+            result_ttl = queue.spec.result_ttl;
             if let CallResult::Answered(_) = &result {
                 queue.record_call(now.since(call.started_at), call.configured_time);
             }
@@ -129,7 +129,7 @@
                 upstream.free_storage(call.reserved_bytes);
             }
         }
-        self.record_results(now + keep, key, &call, &result);
+        self.record_results(now + result_ttl, key, &call, &result);
         match result {
             CallResult::Answered(results) => {
                 for ((job, piece), result) in call.pieces.iter().zip(results) {
--- a/crates/serving/src/untracked_storage.rs
+++ b/crates/serving/src/untracked_storage.rs
@@ -73,13 +73,13 @@
         }
     }
 
-    /// True if the upstream has to be asked now; the query then counts as sent. Results are
-    /// kept at the upstream for `keep`.
-    pub(crate) fn take_due_query(&mut self, now: MonoTime, keep: Duration) -> bool {
+    /// True if the upstream has to be asked now; the query then counts as sent. The upstream keeps
+    /// results for `result_ttl`.
+    pub(crate) fn take_due_query(&mut self, now: MonoTime, result_ttl: Duration) -> bool {
         let next_query = now + QUERY_INTERVAL;
         match self.state {
             PollState::Unknown => {
-                let expires_at = now + keep;
+                let expires_at = now + result_ttl;
                 self.bytes = u64::MAX;
                 self.state = PollState::Polling {
                     expires_at,
