--- a/crates/serving/src/snapshot_kind.rs
+++ b/crates/serving/src/snapshot_kind.rs
@@ -1,11 +1,11 @@
-//! What a whole reading of the store may lack.
+//! Whether a full snapshot of the store may lack writes.
 
-/// What a whole reading of the store may lack.
+/// Whether a full snapshot of the store may lack writes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SnapshotKind {
-    /// Nothing that was ever acknowledged.
+    /// The snapshot includes every acknowledged write.
     Complete,
-    /// It is the first one since the store came back from an older copy: what was written
-    /// last may be gone, and what was removed may be back.
+    /// The snapshot is the first one after the store was restored from an older copy: the latest
+    /// writes may be lost, and removed entries may be back.
     Restored,
 }
