--- a/crates/serving/src/backoffs.rs
+++ b/crates/serving/src/backoffs.rs
@@ -1,4 +1,4 @@
-//! Which upstreams want nothing from this instance for a while.
+//! Tracks the upstreams that asked for a pause in requests.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -11,15 +11,15 @@
 use crate::RetryAfter;
 use crate::UpstreamStart;
 
-/// Entries beyond which those that are over are looked for.
-const MANY: usize = 256;
+/// Number of backoffs above which expired ones are removed.
+const PRUNE_ABOVE: usize = 256;
 
-/// The part of a wait over which instances resume.
-const SPREAD: f64 = 0.1;
-/// A longer wait is spread like this one.
-const SPREAD_OF_MOST: Duration = Duration::from_secs(10);
+/// The fraction of a pause over which instances spread their return.
+const SPREAD_FRACTION: f64 = 0.1;
+/// Longer pauses are spread like this one.
+const MAX_SPREAD_PAUSE: Duration = Duration::from_secs(10);
 
-/// One start of an upstream that wants nothing for a while.
+/// The pause that one start of an upstream asked for.
 #[derive(Debug, Clone)]
 struct Backoff {
     id: CompactString,
@@ -27,22 +27,22 @@
     until: MonoTime,
 }
 
-/// Which upstreams want nothing from this instance for a while, by their own answers.
+/// The upstreams that asked, in their answers, for a pause in requests from this instance.
 ///
-/// Kept by address: results are given up at an address, also where no entry names the
-/// upstream there any more.
+/// Keyed by address, because requests to release results go to an address, also after no entry
+/// names the upstream there any more.
 #[derive(Debug, Default)]
 pub struct Backoffs {
     by_address: HashMap<SocketAddr, Backoff>,
 }
 
 impl Backoffs {
-    /// An upstream answered that it wants nothing for so long. True if that is longer
-    /// than it had said before: a shorter wait takes nothing back. Instances resume one
-    /// after the other, by their `place`.
+    /// Records that an upstream asked for a pause. Returns true if the pause ends later than
+    /// the one recorded before; a shorter pause does not replace a longer one. Instances return
+    /// one after the other, by their `position` in the fleet.
     ///
-    /// The load that it answers: an upstream in need tells all instances of a fleet to wait
-    /// equally long, and would get all that they held back in one moment.
+    /// An overloaded upstream asks all instances of the fleet for equal pauses, and would
+    /// otherwise receive all the requests that they held back at the same moment.
     pub fn record(
         &mut self,
         now: MonoTime,
@@ -50,28 +50,30 @@
         id: &str,
         start: UpstreamStart,
         wait: RetryAfter,
-        place: FleetPosition,
+        position: FleetPosition,
     ) -> bool {
-        if self.by_address.len() >= MANY {
+        if self.by_address.len() >= PRUNE_ABOVE {
             self.by_address.retain(|_, b| now < b.until);
         }
         let wait = wait.wait();
-        let later = wait.min(SPREAD_OF_MOST).mul_f64(SPREAD * place.part());
-        let until = now + wait.saturating_add(later);
+        let delay = wait
+            .min(MAX_SPREAD_PAUSE)
+            .mul_f64(SPREAD_FRACTION * position.fraction());
+        let until = now + wait.saturating_add(delay);
         if self.until(address, id, start) >= Some(until) {
             return false;
         }
-        let said = Backoff {
+        let backoff = Backoff {
             id: id.into(),
             start,
             until,
         };
-        self.by_address.insert(address, said);
+        self.by_address.insert(address, backoff);
         true
     }
 
-    /// How much longer this start of an upstream wants nothing; none if it takes
-    /// requests. An empty `id` stands for whichever upstream is at the address.
+    /// The remaining pause of this start of an upstream; `None` if it accepts requests. An
+    /// empty `id` stands for whichever upstream is at the address.
     pub fn remaining(
         &self,
         now: MonoTime,
@@ -83,19 +85,19 @@
         (now < until).then(|| until.since(now))
     }
 
-    /// True if none wants to be left alone.
+    /// True if no backoffs are recorded.
     pub fn is_empty(&self) -> bool {
         self.by_address.is_empty()
     }
 
-    /// Forgets those that take requests again.
+    /// Removes expired backoffs.
     pub fn expire(&mut self, now: MonoTime) {
         self.by_address.retain(|_, b| now < b.until);
     }
 
     fn until(&self, address: SocketAddr, id: &str, start: UpstreamStart) -> Option<MonoTime> {
-        let said = self.by_address.get(&address)?;
-        let same = id.is_empty() || (said.id == id && !start.is_later_than(said.start));
-        same.then_some(said.until)
+        let backoff = self.by_address.get(&address)?;
+        let same = id.is_empty() || (backoff.id == id && !start.is_later_than(backoff.start));
+        same.then_some(backoff.until)
     }
 }
--- a/crates/serving/src/bootstrap_sources.rs
+++ b/crates/serving/src/bootstrap_sources.rs
@@ -1,4 +1,5 @@
-//! From whom an instance of a large fleet hears everything when it starts.
+//! Selects the instances from which a starting instance of a large fleet loads the store's
+//! contents.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,77 +11,80 @@
 use crate::Strength;
 use crate::owners;
 
-/// Instances in a sample of one in sixteen that tell of a large fleet. In a smaller one
-/// each may read the list of all.
-const LARGE_SAMPLE: usize = 12;
-/// Those that are asked in turn. One may be gone, and both share the others' questions.
-const ASKED: usize = 2;
-/// How long a weak instance leaves reading to stronger ones: longer than a strong one takes
-/// to read all.
-const WEAK_YIELD: Duration = Duration::from_millis(1_500);
-/// How many of a sample may be asked, one after the other while they are silent.
-const MOST: usize = 8;
+/// The size of a sample of one in sixteen instances from which the fleet counts as large. In a
+/// smaller fleet every instance may read the complete list.
+const MIN_LARGE_SAMPLE: usize = 12;
+/// Sources that are queried in next_index: one may be gone, and two share the load.
+const ACTIVE_SOURCES: usize = 2;
+/// Time for which a weak instance leaves reading the store to stronger ones: longer than a
+/// strong instance takes to read everything.
+const WEAK_READ_DELAY: Duration = Duration::from_millis(1_500);
+/// Sources of a sample that may be tried, one after the other, while they do not answer.
+const MAX_SOURCES: usize = 8;
 
-/// Whom an instance asks for everything when it starts.
+/// The instances that a starting instance queries for the store's contents.
 ///
-/// The load that it answers: all instances of a fleet start at once and none knows
-/// anything. All that have the same sample ask the same two, the strongest in it, and
-/// these read the store because they are asked. So a few dozen do, whatever the size of
-/// the fleet, and each tells one sample's share of the others.
+/// Limits the load on the store when all instances of a fleet start at once without any
+/// knowledge. All instances with the same sample query the same two sources, the strongest of
+/// the sample, and these read the store because they are queried. So a few dozen instances read
+/// the store, whatever the size of the fleet, and each of them serves the instances of one
+/// sample.
 #[derive(Debug)]
 pub struct BootstrapSources {
-    left: Vec<SocketAddr>,
-    turn: usize,
+    remaining: Vec<SocketAddr>,
+    next_index: usize,
     strongest: Strength,
 }
 
 impl BootstrapSources {
-    /// The sources in a sample, for the instance `me`; none if it is of a small fleet.
+    /// Selects the sources for the instance `me` from a sample of the fleet; `None` if the
+    /// fleet is small.
     pub fn from_sample(me: Incarnation, sample: &[InstanceEntry]) -> Option<BootstrapSources> {
-        if sample.len() < LARGE_SAMPLE {
+        if sample.len() < MIN_LARGE_SAMPLE {
             return None;
         }
-        let everywhere = Shard {
+        let whole_fleet = Shard {
             zone: None,
             part: 0,
             parts: 1,
         };
-        // One that has started again may be in it twice.
-        let mut left: Vec<SocketAddr> = Vec::with_capacity(MOST);
-        for entry in owners(&everywhere, sample.iter(), 2 * MOST) {
-            if left.len() < MOST && !left.contains(&entry.peer_address) {
-                left.push(entry.peer_address);
+        // An instance that has restarted may be in the sample twice.
+        let mut remaining: Vec<SocketAddr> = Vec::with_capacity(MAX_SOURCES);
+        for entry in owners(&whole_fleet, sample.iter(), 2 * MAX_SOURCES) {
+            if remaining.len() < MAX_SOURCES && !remaining.contains(&entry.peer_address) {
+                remaining.push(entry.peer_address);
             }
         }
         Some(BootstrapSources {
-            left,
+            remaining,
             strongest: sample.iter().map(|e| e.strength).max()?,
-            turn: me.get() as usize,
+            next_index: me.get() as usize,
         })
     }
 
-    /// Whom to ask next; none if all were silent.
+    /// The source to query next; `None` if none is remaining.
     pub fn next_source(&mut self) -> Option<SocketAddr> {
-        let asked = self.left.len().min(ASKED);
-        let n = self.turn.checked_rem(asked)?;
-        self.turn = self.turn.wrapping_add(1);
-        self.left.get(n).copied()
+        let active = self.remaining.len().min(ACTIVE_SOURCES);
+        let n = self.next_index.checked_rem(active)?;
+        self.next_index = self.next_index.wrapping_add(1);
+        self.remaining.get(n).copied()
     }
 
-    /// How long an instance of this strength that others ask goes on asking itself before
-    /// it reads the store for them.
+    /// Time for which an instance of this strength, when others query it, keeps querying its
+    /// own sources before it reads the store for the others.
     ///
-    /// Samples that are read while a fleet starts differ, and by many of them a weak
-    /// instance is among the first. The strong ones have it all by then.
+    /// Samples that are read while the fleet starts differ, and in many of them a weak instance
+    /// ranks among the first. By the end of the delay the strong instances have loaded the
+    /// store.
     pub fn store_read_delay(&self, strength: Strength) -> Duration {
         match strength >= self.strongest {
             true => Duration::ZERO,
-            false => WEAK_YIELD,
+            false => WEAK_READ_DELAY,
         }
     }
 
-    /// This one did not answer.
+    /// Drops a source that did not answer.
     pub fn remove_unresponsive(&mut self, source: SocketAddr) {
-        self.left.retain(|s| *s != source);
+        self.remaining.retain(|s| *s != source);
     }
 }
--- a/crates/serving/src/call_head.rs
+++ b/crates/serving/src/call_head.rs
@@ -1,4 +1,4 @@
-//! What a caller says beside its body.
+//! The decoded head of a caller's request.
 
 use std::time::Duration;
 
@@ -6,21 +6,21 @@
 
 use crate::Prompt;
 
-/// What the head of a caller's request says, decoded.
+/// The head of a caller's request, decoded.
 #[derive(Debug, Clone, Default)]
 pub struct CallHead {
     /// The identity that the caller gave this attempt.
     pub request_id: Option<CompactString>,
     /// How long the caller waits.
     pub deadline: Option<Duration>,
-    /// The credential that the caller shows.
+    /// The caller's credential.
     pub credential: Option<CompactString>,
     /// The prompt, on routes that carry one.
     pub prompt: Option<Prompt>,
-    /// Pieces of each stage, by the stage's number; 0 leaves a stage out.
+    /// Number of pieces of each stage, by the stage's index; 0 skips the stage.
     pub pieces: Vec<usize>,
-    /// What first stages work on.
+    /// The key of the input of the first stages.
     pub piece_key: Option<CompactString>,
-    /// The last event that the caller has, when it goes on with a stream.
+    /// The last event that the caller has received, when it resumes a stream.
     pub last_event: Option<u64>,
 }
--- a/crates/serving/src/cold_start.rs
+++ b/crates/serving/src/cold_start.rs
@@ -1,93 +1,93 @@
-//! How many requests an upstream gets that has just started.
+//! Limits the requests to an upstream that has just started.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use jd_types::MonoTime;
 
-/// What the upstreams of a service bear while they are cold.
+/// The capacity of a service's upstreams while they are cold.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdSpec {
     /// How long an upstream is cold after its start.
     pub duration: Duration,
-    /// Requests a second that it bears meanwhile, from all instances together.
+    /// Requests a second that a cold upstream can handle, from all instances together.
     pub per_s: f64,
 }
 
-/// Where an instance stands among all of them for one upstream: each instance has
-/// another rank, and for each upstream it is another one.
+/// The position of an instance in the fleet with respect to one upstream. For each upstream,
+/// every instance has a different rank, and ranks differ from upstream to upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FleetPosition {
-    /// From 0 on.
+    /// Counted from 0.
     pub rank: u32,
-    /// How many instances there are.
+    /// Number of instances.
     pub fleet_size: u32,
 }
 
 impl FleetPosition {
-    /// The part of the instances that stand before this one, from 0 on and below 1.
-    pub(crate) fn part(self) -> f64 {
+    /// The fraction of the instances with a lower rank, from 0 to below 1.
+    pub(crate) fn fraction(self) -> f64 {
         f64::from(self.rank.min(self.fleet_size)) / f64::from(self.fleet_size.max(1))
     }
 }
 
 impl ColdSpec {
-    /// Requests a second that one instance may send to a cold upstream. The parts of
-    /// all instances together are what it bears; in a large fleet most have none.
-    pub fn share(self, place: FleetPosition) -> usize {
+    /// Requests a second that one instance may send to a cold upstream. The shares of all
+    /// instances add up to its capacity; in a large fleet most instances have none.
+    pub fn share(self, position: FleetPosition) -> usize {
         let whole = self.per_s.max(0.0) as u32;
-        let of = place.fleet_size.max(1);
-        let left_over = u32::from(place.rank < whole % of);
+        let of = position.fleet_size.max(1);
+        let left_over = u32::from(position.rank < whole % of);
         (whole / of + left_over) as usize
     }
 }
 
-/// The time in which an instance sends no more than its part. Longer than a second by
-/// what two requests may come closer together on their way.
+/// The window in which an instance sends at most its share. It exceeds a second by the time by
+/// which two requests may arrive closer together than they were sent.
 const SHARE_WINDOW: Duration = Duration::from_millis(1_200);
 
-/// What one instance knows of one upstream's coldness, and what it sent there.
+/// The cold period of one upstream as one instance knows it, and the requests sent there since.
 ///
-/// Guards against an upstream that ends again because all instances send to it as
-/// before as soon as it is back, which none of them can see: each alone sends little.
-/// So each has a part of what the upstream bears, by its rank among all instances and
-/// without asking anybody. Where nobody told that an upstream is warm after it was
-/// away, it counts as cold.
+/// Guards against an upstream that crashes again because all instances send to it as before as
+/// soon as it is back. No instance can see this, as each sends only a little. Each instance
+/// therefore has a share of the upstream's capacity, by its rank in the fleet and without
+/// coordination. An upstream that was unavailable counts as cold unless it is known to be warm.
 #[derive(Debug, Default)]
 pub struct ColdStart {
     cold_until: MonoTime,
-    away_until: Option<MonoTime>,
+    possible_start: Option<MonoTime>,
     sent: VecDeque<MonoTime>,
 }
 
 impl ColdStart {
-    /// Its entry says that it is cold until then.
+    /// Records that its entry marks it as cold until this time.
     pub fn set_cold_until(&mut self, until: MonoTime) {
         self.cold_until = self.cold_until.max(until);
     }
 
-    /// It may have started as late as at that moment, and nobody told.
+    /// Records that the upstream may have started as late as `at`, since no entry tells when it
+    /// did.
     pub fn record_possible_start(&mut self, at: MonoTime) {
-        self.away_until = self.away_until.max(Some(at));
+        self.possible_start = self.possible_start.max(Some(at));
     }
 
-    /// True if it is cold or may be.
+    /// True if the upstream is cold or may be.
     pub fn is_cold(&self, now: MonoTime, spec: ColdSpec) -> bool {
-        let doubted = |at: MonoTime| now < at + spec.duration;
-        now < self.cold_until || self.away_until.is_some_and(doubted)
+        let may_be_cold = |at: MonoTime| now < at + spec.duration;
+        now < self.cold_until || self.possible_start.is_some_and(may_be_cold)
     }
 
-    /// True if this instance, which stands at `place`, may send it a request now.
-    pub fn may_send(&self, now: MonoTime, spec: ColdSpec, place: FleetPosition) -> bool {
+    /// True if this instance may send a request to the upstream now.
+    pub fn may_send(&self, now: MonoTime, spec: ColdSpec, position: FleetPosition) -> bool {
         if !self.is_cold(now, spec) {
             return true;
         }
-        let lately = |at: &&MonoTime| now.since(**at) < SHARE_WINDOW;
-        let sent = self.sent.iter().filter(lately).count();
-        sent < spec.share(place)
+        let is_recent = |at: &&MonoTime| now.since(**at) < SHARE_WINDOW;
+        let sent = self.sent.iter().filter(is_recent).count();
+        sent < spec.share(position)
     }
 
-    /// A request goes there.
+    /// Records that a request is sent to the upstream.
     pub fn record_sent(&mut self, now: MonoTime, spec: ColdSpec) {
         self.sent.retain(|at| now.since(*at) < SHARE_WINDOW);
         if self.is_cold(now, spec) {
--- a/crates/serving/src/content.rs
+++ b/crates/serving/src/content.rs
@@ -1,23 +1,24 @@
-//! What a request is, whoever sends it and however often.
+//! Identifies a request by its content, independent of sender and attempt.
 
 use std::fmt;
 
 use sha2::Digest;
 use sha2::Sha256;
 
-/// What a request is: the same for each attempt at it, at whatever instance.
+/// The identity of a request's content: the same for each attempt, at any instance.
 ///
-/// The first eight bytes of a cryptographic hash, of which the customer is a part. A request
-/// that is taken for another customer's is found only by trying some 2^64.
+/// The first eight bytes of a cryptographic hash over content that includes the customer. A
+/// request that collides with another customer's can only be found by about 2^64 trials.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Content(u64);
 
 impl Content {
-    /// The content that these parts make, in their order.
+    /// Hashes these parts in their order.
     pub fn of(parts: &[&[u8]]) -> Content {
         let mut hasher = Sha256::new();
         for part in parts {
-            // The lengths keep the end of one part from passing for the start of the next.
+            // The lengths prevent the end of one part from being taken for the start of the
+            // next.
             hasher.update((part.len() as u64).to_be_bytes());
             hasher.update(part);
         }
@@ -26,12 +27,12 @@
         Content(first.fold(0, |n, byte| n << 8 | u64::from(*byte)))
     }
 
-    /// The content of that number, as another instance names it.
+    /// The content with this number, as received from another instance.
     pub fn from_number(number: u64) -> Content {
         Content(number)
     }
 
-    /// Its number, for messages.
+    /// The number that identifies the content in messages.
     pub fn number(self) -> u64 {
         self.0
     }
--- a/crates/serving/src/crash_evidence.rs
+++ b/crates/serving/src/crash_evidence.rs
@@ -1,4 +1,4 @@
-//! Which requests end the upstreams that run them.
+//! Finds the requests that crash the upstreams that run them.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -14,218 +14,227 @@
 use crate::QUARANTINE_TTL;
 use crate::UpstreamStart;
 
-/// Ends, one after the other, with a request aboard that make it suspect.
+/// Consecutive crashes during a request that make the request suspected.
 const SUSPECT_AFTER: usize = 2;
-/// Ends that quarantine it. Fewer are met by chance where upstreams fail in numbers; each
-/// more costs the users another upstream.
+/// Consecutive crashes that quarantine the request. Fewer occur by chance where many upstreams
+/// fail; each additional one costs another upstream.
 const QUARANTINE_AFTER: usize = 3;
-/// The same where another request was there as often: one end more may tell them apart.
-const QUARANTINE_OF_TWO_AFTER: usize = QUARANTINE_AFTER + 1;
-/// How long an end waits for the reports of other instances: several round trips between
-/// availability zones, and what it takes to find out that an upstream is gone.
-const REPORTS_WITHIN: Duration = Duration::from_millis(250);
-/// How long those who saw a suspect run well have to say so. Two heartbeats, so that all
-/// instances have heard of it; a third of the time in which a quarantine has to be known.
-const OBJECTIONS_WITHIN: Duration = Duration::from_millis(1_000);
-/// After that long an upstream that has ended is not listed any more. Users' upstreams are
-/// removed after three heartbeats of 1.2 s; twice that.
-const REMOVED_WITHIN: Duration = Duration::from_secs(8);
-/// How long ends are kept: a request that comes back after its quarantine has lapsed is
-/// quarantined after one more.
-const KEPT_FOR: Duration = QUARANTINE_TTL.saturating_mul(3);
-/// The most ends that are kept.
-const MOST_ENDS: usize = 256;
-/// The most runs of one end that are kept: the largest upstreams work on 64 at a time.
-const MOST_RUNS: usize = 256;
+/// The same if another request was present at as many crashes: one more crash may tell the two
+/// apart.
+const QUARANTINE_TIED_AFTER: usize = QUARANTINE_AFTER + 1;
+/// Time for which a crash waits for the reports of other instances: several round trips between
+/// availability zones, and the time in which the loss of an upstream is detected.
+const REPORT_WAIT: Duration = Duration::from_millis(250);
+/// Time in which instances that completed a suspected request may report this: two heartbeats,
+/// so that all instances know of the suspicion, and a third of the time in which a quarantine
+/// must be known everywhere.
+const OBJECTION_WAIT: Duration = Duration::from_millis(1_000);
+/// Time after which a crashed upstream is no longer listed. The platform removes upstreams
+/// after three heartbeats of 1.2 s; this is twice that.
+const LISTING_TIMEOUT: Duration = Duration::from_secs(8);
+/// Retention of crashes: a request that returns after its quarantine has expired is quarantined
+/// again after one more crash.
+const RETENTION: Duration = QUARANTINE_TTL.saturating_mul(3);
+/// Crashes that are kept.
+const MAX_CRASHES: usize = 256;
+/// Runs that are kept of one crash: the largest upstreams process 64 requests concurrently.
+const MAX_RUNS_PER_CRASH: usize = 256;
 
-/// A run that an upstream did not finish.
+/// A run that an upstream did not complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BrokenRun {
-    /// Of which request.
+    /// The content of its request.
     pub content: Content,
-    /// When it was sent there.
+    /// When it was sent to the upstream.
     pub began: MonoTime,
 }
 
-/// The end of an upstream, as one instance saw it.
+/// The crash of an upstream, as one instance saw it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UpstreamCrash {
-    /// What it worked for.
+    /// The service of the upstream.
     pub service: CompactString,
-    /// Its identity.
+    /// The upstream's identity.
     pub upstream: CompactString,
-    /// Which start of it ended.
+    /// The start of the upstream that crashed.
     pub start: UpstreamStart,
-    /// When.
+    /// When it crashed.
     pub at: MonoTime,
-    /// What it had not finished.
+    /// The runs that were in progress.
     pub runs: Vec<BrokenRun>,
 }
 
-/// What the ends of upstreams say.
+/// The result of evaluating the crashes of upstreams.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Findings {
-    /// Requests that may have ended them.
+    /// Requests that may have crashed upstreams.
     pub suspected: Vec<Finding>,
-    /// Requests that have.
+    /// Requests that have crashed upstreams.
     pub quarantined: Vec<Finding>,
-    /// Requests that seemed to have, and have not.
+    /// Requests that were quarantined and turned out not to have crashed upstreams.
     pub released: Vec<Content>,
 }
 
-/// A request, and what speaks against it.
+/// A request with the evidence against it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Finding {
     /// The request.
     pub content: Content,
-    /// Upstreams that ended with it, one after the other.
+    /// Consecutive upstream crashes during the request.
     pub crashes: usize,
-    /// The longest time from its sending to such an end.
+    /// The longest time from sending the request to such a crash.
     pub longest_run: Duration,
-    /// When the last of them was.
+    /// The time of the last such crash.
     pub last_crash: MonoTime,
 }
 
-/// The ends of upstreams, and the requests that were there.
+/// The crashes of upstreams and the requests that were in progress.
 ///
-/// Guards against a request that ends each upstream which runs it and whose caller sends
-/// it again: seen from any one instance an upstream has failed, and the request goes to
-/// the next. What an upstream held when it ended is no proof, since an end breaks off
-/// everything there. Four things tell the cause from the others:
+/// Guards against a request that crashes every upstream that runs it and whose caller retries
+/// it: for each single instance an upstream has failed, and the request goes to the next one.
+/// Being in progress at a crash proves nothing, since a crash breaks off all requests of the
+/// upstream. Four rules tell the cause from the other requests:
 ///
-/// - It is there again each time. Ends count one after the other: one counts only if the
-///   run began after the end before, so that a loss of power, at however many upstreams a
-///   repeated request was, is one.
-/// - It does not end well in between. One run that did speaks for a request against all
-///   ends before it.
-/// - It alone explains all of its ends. What is found to have ended an upstream clears
-///   all others that were there. Two that were always there together are told apart by the
-///   next end; if that does not, the one whose runs were ended sooner goes first, and if
-///   upstreams go on ending under the other, that one is found and the first released.
-/// - The upstreams have really ended. One that is still listed long after is taken for
-///   cut off.
+/// - The cause is present at each crash. Crashes count only in sequence: a crash counts if the
+///   run began after the previous crash, so that a power loss counts as one crash, at however
+///   many upstreams a retried request was running.
+/// - The cause does not complete in between. One completed run clears a request of all earlier
+///   crashes.
+/// - The cause alone explains all of its crashes. When a request is found to have crashed an
+///   upstream, all others that were present are cleared of that crash. Two requests that were
+///   always present together are told apart by the next crash. If it does not separate them,
+///   the request with the shorter runs is taken first, and if upstreams go on crashing with the
+///   other one, that one is found and the first is released.
+/// - The upstreams have really crashed. An upstream that is still listed long afterwards is
+///   taken to have been cut off.
 #[derive(Debug, Default)]
 pub struct CrashEvidence {
-    ends: VecDeque<KnownEnd>,
+    crashes: VecDeque<KnownCrash>,
     suspected: HashMap<Content, MonoTime>,
     quarantined: HashSet<Content>,
 }
 
 #[derive(Debug)]
-struct KnownEnd {
-    end: UpstreamCrash,
-    heard: MonoTime,
+struct KnownCrash {
+    crash: UpstreamCrash,
+    received_at: MonoTime,
     is_confirmed: bool,
 }
 
-/// What speaks against one request, of the ends that nothing else explains.
+/// The evidence against one request, from the crashes that nothing else explains.
 #[derive(Debug, Default)]
-struct Case {
-    ends: usize,
-    last: Option<MonoTime>,
-    longest: Duration,
+struct Evidence {
+    crashes: usize,
+    last_crash: Option<MonoTime>,
+    longest_run: Duration,
 }
 
-impl Case {
-    fn count(&mut self, run: &BrokenRun, ended: MonoTime) {
-        if self.last.is_some_and(|last| run.began <= last) {
+impl Evidence {
+    fn count(&mut self, run: &BrokenRun, crashed_at: MonoTime) {
+        if self.last_crash.is_some_and(|at| run.began <= at) {
             return;
         }
-        self.ends += 1;
-        self.last = Some(ended);
-        self.longest = self.longest.max(ended.since(run.began));
+        self.crashes += 1;
+        self.last_crash = Some(crashed_at);
+        self.longest_run = self.longest_run.max(crashed_at.since(run.began));
     }
 
     fn finding(&self, content: Content) -> Finding {
         Finding {
             content,
-            crashes: self.ends,
-            longest_run: self.longest,
-            last_crash: self.last.unwrap_or(MonoTime::ZERO),
+            crashes: self.crashes,
+            longest_run: self.longest_run,
+            last_crash: self.last_crash.unwrap_or(MonoTime::ZERO),
         }
     }
 }
 
 impl CrashEvidence {
-    /// An instance saw the end of an upstream.
-    pub fn record_crash(&mut self, now: MonoTime, end: UpstreamCrash) {
-        let same = |k: &&mut KnownEnd| {
-            k.end.upstream == end.upstream
-                && k.end.start == end.start
-                && k.end.service == end.service
+    /// Records a crash that an instance reported.
+    pub fn record_crash(&mut self, now: MonoTime, crash: UpstreamCrash) {
+        let same = |k: &&mut KnownCrash| {
+            k.crash.upstream == crash.upstream
+                && k.crash.start == crash.start
+                && k.crash.service == crash.service
         };
-        if let Some(known) = self.ends.iter_mut().find(same) {
-            let room = MOST_RUNS.saturating_sub(known.end.runs.len());
-            known.end.runs.extend(end.runs.into_iter().take(room));
-            known.end.at = known.end.at.min(end.at);
+        if let Some(known) = self.crashes.iter_mut().find(same) {
+            let room = MAX_RUNS_PER_CRASH.saturating_sub(known.crash.runs.len());
+            known.crash.runs.extend(crash.runs.into_iter().take(room));
+            known.crash.at = known.crash.at.min(crash.at);
             return;
         }
-        while self.ends.len() >= MOST_ENDS {
-            self.forget_oldest();
+        while self.crashes.len() >= MAX_CRASHES {
+            self.evict_oldest();
         }
-        let place = self.ends.partition_point(|k| k.end.at <= end.at);
-        let known = KnownEnd {
-            end,
-            heard: now,
+        let index = self.crashes.partition_point(|k| k.crash.at <= crash.at);
+        let known = KnownCrash {
+            crash,
+            received_at: now,
             is_confirmed: false,
         };
-        self.ends.insert(place, known);
+        self.crashes.insert(index, known);
     }
 
-    /// A run ended well, as somebody remembers. It speaks for its request against the ends
-    /// before, and not against those that came after: what a request does to upstreams can
-    /// change from one moment to the next. True if nothing speaks against it any more.
+    /// Records that an instance saw a request complete at a service. This clears the request of
+    /// earlier crashes but not of later ones, because the effect of a request on upstreams may
+    /// change at any time. Returns true if the request was involved in crashes and no longer
+    /// is.
     pub fn record_completed_run(&mut self, run: &CompletedRun) -> bool {
-        let is_there = |k: &KnownEnd| {
-            let mut runs = k.end.runs.iter();
-            k.end.service == run.service && runs.any(|r| r.content == run.content)
+        let is_involved = |k: &KnownCrash| {
+            let mut runs = k.crash.runs.iter();
+            k.crash.service == run.service && runs.any(|r| r.content == run.content)
         };
-        let had = self.ends.iter().any(is_there);
-        for known in self.ends.iter_mut().filter(|k| k.end.at <= run.at) {
-            if known.end.service == run.service {
-                known.end.runs.retain(|r| r.content != run.content);
+        let was_involved = self.crashes.iter().any(is_involved);
+        for known in self.crashes.iter_mut().filter(|k| k.crash.at <= run.at) {
+            if known.crash.service == run.service {
+                known.crash.runs.retain(|r| r.content != run.content);
             }
         }
-        had && !self.ends.iter().any(is_there)
+        was_involved && !self.crashes.iter().any(is_involved)
     }
 
-    /// Leaves out ends of upstreams that are still listed when they should not be.
+    /// Discards crashes of upstreams that are still listed after they should have been removed.
     pub fn discard_listed(
         &mut self,
         now: MonoTime,
         is_listed: impl Fn(&str, UpstreamStart) -> bool,
     ) {
-        let due = |k: &KnownEnd| !k.is_confirmed && now.since(k.end.at) > REMOVED_WITHIN;
-        self.ends.retain_mut(|k| {
+        let due = |k: &KnownCrash| !k.is_confirmed && now.since(k.crash.at) > LISTING_TIMEOUT;
+        self.crashes.retain_mut(|k| {
             if !due(k) {
                 return true;
             }
             k.is_confirmed = true;
-            !is_listed(&k.end.upstream, k.end.start)
+            !is_listed(&k.crash.upstream, k.crash.start)
         });
     }
 
-    /// True if time alone may bring a finding.
+    /// True if a crash still awaits reports or confirmation, so that findings may change with
+    /// time alone.
     pub fn is_pending(&self, now: MonoTime) -> bool {
-        let young = |k: &KnownEnd| now.since(k.heard) <= REPORTS_WITHIN || !k.is_confirmed;
-        self.ends.iter().any(young)
+        let is_undecided =
+            |k: &KnownCrash| now.since(k.received_at) <= REPORT_WAIT || !k.is_confirmed;
+        self.crashes.iter().any(is_undecided)
     }
 
-    /// What the ends say now. What was quarantined here before and is not explained that
-    /// way any more is released.
+    /// Evaluates the crashes. Requests that were quarantined before and no longer explain any
+    /// crash are released.
     pub fn findings(&mut self, now: MonoTime) -> Findings {
         while self
-            .ends
+            .crashes
             .front()
-            .is_some_and(|k| now.since(k.end.at) > KEPT_FOR)
+            .is_some_and(|k| now.since(k.crash.at) > RETENTION)
         {
-            self.forget_oldest();
+            self.evict_oldest();
         }
         let mut findings = Findings::default();
-        let services: HashSet<CompactString> =
-            self.ends.iter().map(|k| k.end.service.clone()).collect();
+        let services: HashSet<CompactString> = self
+            .crashes
+            .iter()
+            .map(|k| k.crash.service.clone())
+            .collect();
         for service in services {
-            self.explain_ends_of(now, &service, &mut findings);
+            self.explain_crashes_of(now, &service, &mut findings);
         }
         let is_suspected = |c: &Content| {
             let mut all = findings.suspected.iter().chain(&findings.quarantined);
@@ -239,70 +248,76 @@
         findings
     }
 
-    /// Explains the ends of a service by as few requests as do, the likeliest first.
-    fn explain_ends_of(&mut self, now: MonoTime, service: &str, findings: &mut Findings) {
-        let ends = self.ends.iter().filter(|k| k.end.service == service);
-        let heard = ends.filter(|k| now.since(k.heard) > REPORTS_WITHIN);
-        let mut left: Vec<&UpstreamCrash> = heard.map(|k| &k.end).collect();
+    /// Explains the crashes of a service by as few requests as possible, the most likely first.
+    fn explain_crashes_of(&mut self, now: MonoTime, service: &str, findings: &mut Findings) {
+        let crashes = self.crashes.iter().filter(|k| k.crash.service == service);
+        let reported = crashes.filter(|k| now.since(k.received_at) > REPORT_WAIT);
+        let mut unexplained: Vec<&UpstreamCrash> = reported.map(|k| &k.crash).collect();
         loop {
-            let cases = cases(&left);
-            let likeliest = cases.iter().max_by_key(|(content, case)| {
-                (case.ends, Reverse(case.longest), Reverse(**content))
+            let evidence = evidence(&unexplained);
+            let likeliest = evidence.iter().max_by_key(|(content, item)| {
+                (item.crashes, Reverse(item.longest_run), Reverse(**content))
             });
-            let Some((content, case)) = likeliest else {
+            let Some((content, item)) = likeliest else {
                 return;
             };
-            if case.ends < SUSPECT_AFTER {
+            if item.crashes < SUSPECT_AFTER {
                 return;
             }
-            let as_often = cases.iter().filter(|(_, c)| c.ends == case.ends);
+            let as_often = evidence.iter().filter(|(_, c)| c.crashes == item.crashes);
             let mut others = as_often.filter(|(other, _)| *other != content);
-            let enough = match others.any(|(other, _)| is_always_with(&left, *other, *content)) {
-                true => QUARANTINE_OF_TWO_AFTER,
-                false => QUARANTINE_AFTER,
-            };
+            let threshold =
+                match others.any(|(other, _)| is_always_with(&unexplained, *other, *content)) {
+                    true => QUARANTINE_TIED_AFTER,
+                    false => QUARANTINE_AFTER,
+                };
             let since = *self.suspected.entry(*content).or_insert(now);
-            let had_time = now.since(since) >= OBJECTIONS_WITHIN;
-            let finding = case.finding(*content);
-            match case.ends >= enough && had_time {
+            let had_time = now.since(since) >= OBJECTION_WAIT;
+            let finding = item.finding(*content);
+            match item.crashes >= threshold && had_time {
                 true => findings.quarantined.push(finding),
                 false => findings.suspected.push(finding),
             }
-            left.retain(|end| !end.runs.iter().any(|r| r.content == *content));
+            unexplained.retain(|crash| !crash.runs.iter().any(|r| r.content == *content));
         }
     }
 
-    /// Without an end that is forgotten nothing is released: it has not been explained.
-    fn forget_oldest(&mut self) {
-        if let Some(known) = self.ends.pop_front() {
-            for run in known.end.runs {
+    /// Evicts the oldest crash. The eviction releases no request that was present, because the
+    /// crash has not been explained otherwise.
+    fn evict_oldest(&mut self) {
+        if let Some(known) = self.crashes.pop_front() {
+            for run in known.crash.runs {
                 self.quarantined.remove(&run.content);
             }
         }
     }
 }
 
-/// True if a request was at every one of these ends at which another was.
-fn is_always_with(ends: &[&UpstreamCrash], one: Content, other: Content) -> bool {
-    let was_at = |end: &UpstreamCrash, who| end.runs.iter().any(|r| r.content == who);
-    let mut of_other = ends.iter().filter(|end| was_at(end, other));
-    of_other.all(|end| was_at(end, one))
+/// True if a request was present at each of these crashes at which another was.
+fn is_always_with(crashes: &[&UpstreamCrash], one: Content, other: Content) -> bool {
+    let was_at = |crash: &UpstreamCrash, who| crash.runs.iter().any(|r| r.content == who);
+    let mut with_other = crashes.iter().filter(|crash| was_at(crash, other));
+    with_other.all(|crash| was_at(crash, one))
 }
 
-/// What speaks against each request that was at these ends, which are in order of time.
-fn cases(ends: &[&UpstreamCrash]) -> HashMap<Content, Case> {
-    let mut cases: HashMap<Content, Case> = HashMap::new();
-    for end in ends {
-        let mut runs: Vec<&BrokenRun> = end.runs.iter().collect();
-        // Of several runs of one request the oldest decides: had it ended the upstream,
-        // it would have done so soon after that one had begun.
+/// The evidence against each request that was present at these crashes, which are in order of
+/// time.
+fn evidence(crashes: &[&UpstreamCrash]) -> HashMap<Content, Evidence> {
+    let mut evidence: HashMap<Content, Evidence> = HashMap::new();
+    for crash in crashes {
+        let mut runs: Vec<&BrokenRun> = crash.runs.iter().collect();
+        // Of several runs of one request the earliest counts: if the request had crashed the
+        // upstream, it would have done so soon after that run began.
         runs.sort_by_key(|r| r.began);
         let mut counted: HashSet<Content> = HashSet::new();
         for run in runs {
             if counted.insert(run.content) {
-                cases.entry(run.content).or_default().count(run, end.at);
+                evidence
+                    .entry(run.content)
+                    .or_default()
+                    .count(run, crash.at);
             }
         }
     }
-    cases
+    evidence
 }
--- a/crates/serving/src/departures.rs
+++ b/crates/serving/src/departures.rs
@@ -1,4 +1,4 @@
-//! Which upstreams are about to stop, or have.
+//! Remembers which upstreams are leaving.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -8,79 +8,82 @@
 
 use crate::UpstreamStart;
 
-/// How long it is remembered that an upstream leaves while no entry names it. Entries lapse
-/// with the store, and one that is put back may be older than the word.
-const REMEMBERED: Duration = Duration::from_secs(60);
-/// The most upstreams of which that is remembered.
-const MOST: usize = 8_192;
+/// Time for which a departure is remembered while no entry names the upstream. Entries expire
+/// with the store, and an entry that returns may be older than the departure.
+const RETENTION: Duration = Duration::from_secs(60);
+/// Upstreams whose departures are remembered.
+const MAX_DEPARTURES: usize = 8_192;
 
-/// Who told that an upstream leaves.
+/// The origin of a departure.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum DepartureSource {
-    /// Its entry in the store, by what it said or by its removal. An entry that is written
-    /// later may say otherwise: it was cut off from the store for a while.
+    /// The upstream's entry in the store: it was marked as leaving or removed. An entry that is
+    /// written later may revoke this, since the upstream may have been cut off from the store
+    /// for a while.
     Entry,
-    /// The upstream itself, in an answer. Nothing takes that back but a later start.
+    /// An answer of the upstream itself. Only a later start revokes it.
     Answer,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Departure {
     start: UpstreamStart,
-    told_by: DepartureSource,
-    /// When it was told, or last of use.
-    noted: MonoTime,
+    source: DepartureSource,
+    /// When it was recorded, or when the upstream was last found listed.
+    last_used: MonoTime,
 }
 
-/// Which upstreams are about to stop, or have, as far as this instance was told.
+/// The upstreams that are about to stop or have stopped, as far as this instance knows.
 #[derive(Debug, Default)]
 pub(crate) struct Departures {
     by_id: HashMap<CompactString, Departure>,
 }
 
 impl Departures {
-    /// A start of an upstream leaves.
-    pub(crate) fn note(
+    /// Records that a start of an upstream is leaving.
+    pub(crate) fn record(
         &mut self,
         now: MonoTime,
         id: &str,
         start: UpstreamStart,
-        told_by: DepartureSource,
+        source: DepartureSource,
     ) {
-        if self.by_id.len() >= MOST && !self.by_id.contains_key(id) {
+        if self.by_id.len() >= MAX_DEPARTURES && !self.by_id.contains_key(id) {
             return;
         }
         let known = self.by_id.get(id);
         let same = known.filter(|k| !start.is_later_than(k.start));
         let departure = Departure {
             start,
-            told_by: same.map_or(told_by, |k| k.told_by.max(told_by)),
-            noted: now,
+            source: same.map_or(source, |k| k.source.max(source)),
+            last_used: now,
         };
         self.by_id.insert(id.into(), departure);
     }
 
-    /// An entry that was written just now says that the upstream is ready.
-    pub(crate) fn entry_says_ready(&mut self, id: &str) {
-        let told = self.by_id.get(id);
-        if told.is_some_and(|told| told.told_by == DepartureSource::Entry) {
+    /// Revokes a departure that came from an entry, because an entry that was written just now
+    /// says that the upstream is ready.
+    pub(crate) fn revoke_by_entry(&mut self, id: &str) {
+        let departure = self.by_id.get(id);
+        if departure.is_some_and(|d| d.source == DepartureSource::Entry) {
             self.by_id.remove(id);
         }
     }
 
-    /// True if this start of an upstream leaves.
-    pub(crate) fn has_left(&self, id: &str, start: UpstreamStart) -> bool {
-        let told = self.by_id.get(id);
-        told.is_some_and(|told| !start.is_later_than(told.start))
+    /// True if this start of an upstream is leaving or gone.
+    pub(crate) fn is_leaving(&self, id: &str, start: UpstreamStart) -> bool {
+        let departure = self.by_id.get(id);
+        departure.is_some_and(|d| !start.is_later_than(d.start))
     }
 
-    /// Forgets those that no entry has named for long; `is_listed` tells whether one does.
+    /// Forgets departures of upstreams that have not been listed for a long time; `is_listed`
+    /// tells whether an entry names an upstream.
     pub(crate) fn expire(&mut self, now: MonoTime, is_listed: impl Fn(&str) -> bool) {
         self.by_id.retain(|id, departure| {
             if is_listed(id) {
-                departure.noted = now;
+                departure.last_used = now;
             }
-            now.since(departure.noted) < REMEMBERED
+            now.since(departure.last_used) < RETENTION
         });
     }
 }
--- a/crates/serving/src/deployment.rs
+++ b/crates/serving/src/deployment.rs
@@ -1,4 +1,4 @@
-//! What the operator has put in force.
+//! The operator's configuration.
 
 use std::time::Duration;
 
@@ -7,47 +7,47 @@
 use crate::Route;
 use crate::Service;
 
-/// One version of the operator's configuration, checked and decoded.
+/// One version of the operator's configuration, validated and decoded.
 #[derive(Debug, Clone, Default)]
 pub struct Deployment {
-    /// The operator's own number; it grows in uneven steps.
+    /// The operator's version number; it grows in uneven steps.
     pub version: u64,
     /// All routes.
     pub routes: Vec<Route>,
-    /// All services that routes and stages name.
+    /// All services that routes and stages refer to.
     pub services: Vec<Service>,
-    /// What callers may send.
+    /// The limits on callers' requests.
     pub limits: CallerLimits,
-    /// Who may call; empty where nobody has to show a credential.
+    /// The customers that may call; empty if no credential is required.
     pub customers: Vec<CustomerSpec>,
 }
 
-/// A customer and the credentials that it holds.
+/// A customer and its credentials.
 #[derive(Debug, Clone)]
 pub struct CustomerSpec {
-    /// The name that upstreams are told.
+    /// The name that upstreams receive.
     pub name: CompactString,
-    /// Every credential in force.
+    /// All valid credentials.
     pub credentials: Vec<CompactString>,
-    /// Goes before the route's priority; 0 is the most urgent.
+    /// Overrides the route's priority; 0 is the most urgent.
     pub priority: Option<u8>,
 }
 
-/// What a caller may send, and how long it may take.
+/// Limits on the size of callers' requests and on their connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerLimits {
     /// Bytes of a request's head.
     pub head_bytes: usize,
     /// Bytes of a request's body.
     pub body_bytes: usize,
-    /// How long a head may take to arrive.
+    /// Time in which a head must arrive.
     pub head_timeout: Duration,
-    /// How long a connection may lie idle.
+    /// Time after which an idle connection is closed.
     pub idle_timeout: Duration,
 }
 
 impl Default for CallerLimits {
-    /// In force until the operator's own are known.
+    /// In force until the operator's limits are known.
     fn default() -> CallerLimits {
         CallerLimits {
             head_bytes: 16 << 10,
--- a/crates/serving/src/evacuated_zones.rs
+++ b/crates/serving/src/evacuated_zones.rs
@@ -1,4 +1,4 @@
-//! Availability zones whose upstreams are to get nothing new.
+//! Tracks availability zones that receive no new work.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -9,55 +9,54 @@
 
 use crate::Reading;
 
-/// How long a zone stays evacuated that a copy of the store does not name: the operator
-/// writes again what the store lost.
-const WRITTEN_AGAIN_WITHIN: Duration = Duration::from_secs(10);
+/// Time for which a zone stays evacuated that a restored store lacks, so that the operator can
+/// rewrite the record.
+const REWRITE_GRACE: Duration = Duration::from_secs(10);
 
-/// The availability zones that the operator has evacuated, and those that were
-/// taken back since this instance started.
+/// The availability zones that the operator has evacuated, and those whose evacuation has ended
+/// since this instance started.
 ///
-/// Guards against work that is lost with a zone: whatever is sent there after the
-/// operator was told that it is empty ends with the upstreams when they are switched
-/// off. It holds for requests, pieces of stages and all that is sent once more.
+/// Guards against work that is lost with a zone: anything sent there after the operator was
+/// told that the zone is empty is lost when its upstreams are switched off. This applies to
+/// requests, pieces of stages and all retries.
 #[derive(Debug, Default)]
 pub struct EvacuatedZones {
     zones: BTreeSet<Name>,
-    /// Zones that the store lost with its newest records, and until when they stay
-    /// evacuated all the same.
-    lost: BTreeMap<Name, MonoTime>,
-    taken_back: BTreeMap<Name, MonoTime>,
+    /// Zones that a restored store lacks, and until when they stay evacuated nevertheless.
+    missing: BTreeMap<Name, MonoTime>,
+    ended: BTreeMap<Name, MonoTime>,
 }
 
 impl EvacuatedZones {
-    /// A zone is evacuated; true if that is news.
+    /// Marks a zone as evacuated; returns true if it was not before.
     pub fn evacuate(&mut self, zone: Name) -> bool {
-        self.lost.remove(&zone);
+        self.missing.remove(&zone);
         self.zones.insert(zone)
     }
 
-    /// A zone is taken back; true if that is news.
+    /// Ends the evacuation of a zone; returns true if it was evacuated.
     pub fn end_evacuation(&mut self, now: MonoTime, zone: &Name) -> bool {
-        self.lost.remove(zone);
-        let news = self.zones.remove(zone);
-        if news {
-            self.taken_back.insert(zone.clone(), now);
+        self.missing.remove(zone);
+        let was_evacuated = self.zones.remove(zone);
+        if was_evacuated {
+            self.ended.insert(zone.clone(), now);
         }
-        news
+        was_evacuated
     }
 
-    /// Takes in all zones that are evacuated; true if that changes anything.
+    /// Replaces the set of evacuated zones; returns true if anything changed.
     ///
-    /// Guards against a zone that gets work again since the store came back from a copy
-    /// that is older than its evacuation.
+    /// Guards against sending work to a zone because the store was restored from a copy that is
+    /// older than the zone's evacuation.
     pub fn replace(&mut self, now: MonoTime, zones: BTreeSet<Name>, reading: Reading) -> bool {
-        let gone: Vec<Name> = self.zones.difference(&zones).cloned().collect();
+        let removed: Vec<Name> = self.zones.difference(&zones).cloned().collect();
         let mut changed = false;
-        for zone in gone {
+        for zone in removed {
             match reading {
                 Reading::Restored => {
-                    self.lost.insert(zone, now + WRITTEN_AGAIN_WITHIN);
+                    self.missing.insert(zone, now + REWRITE_GRACE);
                 }
-                Reading::Complete if self.lost.contains_key(&zone) => {}
+                Reading::Complete if self.missing.contains_key(&zone) => {}
                 Reading::Complete => changed |= self.end_evacuation(now, &zone),
             }
         }
@@ -67,14 +66,15 @@
         changed
     }
 
-    /// Takes back the zones that were not written again; true if there are any.
+    /// Ends the evacuation of missing zones that were not rewritten in time; returns true if
+    /// there were any.
     pub fn expire(&mut self, now: MonoTime) -> bool {
-        let over = self.lost.iter().filter(|(_, until)| **until <= now);
-        let over: Vec<Name> = over.map(|(zone, _)| zone.clone()).collect();
-        for zone in &over {
+        let expired = self.missing.iter().filter(|(_, until)| **until <= now);
+        let expired: Vec<Name> = expired.map(|(zone, _)| zone.clone()).collect();
+        for zone in &expired {
             self.end_evacuation(now, zone);
         }
-        !over.is_empty()
+        !expired.is_empty()
     }
 
     /// True if nothing new may be sent to upstreams of the zone.
@@ -82,9 +82,9 @@
         self.zones.contains(zone)
     }
 
-    /// When the zone was last taken back; none if it never was. Its upstreams may
-    /// have started shortly before.
+    /// When the zone's last evacuation ended, if it ever had one. Its upstreams may have
+    /// started shortly before.
     pub fn evacuation_ended_at(&self, zone: &Name) -> Option<MonoTime> {
-        self.taken_back.get(zone).copied()
+        self.ended.get(zone).copied()
     }
 }
--- a/crates/serving/src/event_splitter.rs
+++ b/crates/serving/src/event_splitter.rs
@@ -1,42 +1,42 @@
-//! Whole events out of a stream of bytes.
+//! Splits a byte stream into complete events.
 
 use bytes::Bytes;
 use bytes::BytesMut;
 
-/// What ends an event.
+/// Terminates an event.
 const EVENT_END: &[u8] = b"\n\n";
-/// What begins the line with an event's number.
+/// Prefix of the line with an event's number.
 const ID_LINE: &[u8] = b"id:";
 
-/// Cuts a stream of bytes into whole events.
+/// Splits a byte stream into complete events.
 ///
-/// Guards against an upstream that stops in the middle of an event: only whole
-/// events are passed on, so that another upstream can go on after the last of
-/// them without a gap or a torn event in between.
+/// Guards against an upstream that stops in the middle of an event: only complete events are
+/// forwarded, so that another upstream can continue after the last of them without a gap or a
+/// partial event in between.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
-    rest: BytesMut,
+    partial: BytesMut,
     last: Option<u64>,
 }
 
 impl EventSplitter {
-    /// Takes bytes in and returns the whole events that are there now.
+    /// Appends bytes and returns the events that are complete now.
     pub fn push(&mut self, part: &[u8]) -> Option<Bytes> {
-        self.rest.extend_from_slice(part);
-        let end = find_last(&self.rest, EVENT_END)? + EVENT_END.len();
-        let whole = self.rest.split_to(end).freeze();
-        self.last = last_id(&whole).or(self.last);
-        Some(whole)
+        self.partial.extend_from_slice(part);
+        let end = find_last(&self.partial, EVENT_END)? + EVENT_END.len();
+        let complete = self.partial.split_to(end).freeze();
+        self.last = last_id(&complete).or(self.last);
+        Some(complete)
     }
 
-    /// The number of the last whole event; none before the first.
+    /// The number of the last complete event, if there was one.
     pub fn last_event(&self) -> Option<u64> {
         self.last
     }
 
-    /// Bytes of an event that is not whole.
+    /// Takes the bytes of an incomplete event.
     pub fn take_remaining(&mut self) -> Bytes {
-        self.rest.split().freeze()
+        self.partial.split().freeze()
     }
 }
 
--- a/crates/serving/src/freshness.rs
+++ b/crates/serving/src/freshness.rs
@@ -1,4 +1,4 @@
-//! How old the knowledge of what is in force may be.
+//! Tracks how recent this instance's copy of the store is known to be.
 
 use std::time::Duration;
 
@@ -6,45 +6,44 @@
 
 use crate::StoreRevision;
 
-/// Proof that this instance knew all that was in force at some moment.
+/// Proof that this instance's copy of the store was up to date at some moment.
 ///
-/// Guards against credentials that were taken away while this instance could
-/// not hear of it: cut off, frozen, suspended, or behind a connection that has
-/// gone silent. A watch that brings nothing proves nothing. Proof is a question
-/// put to the store and answered with the revision that it had then; it counts
-/// from the moment of asking, on a clock that runs through suspension.
+/// Guards against credentials that were revoked while this instance could not learn of it:
+/// disconnected, frozen, suspended, or behind a connection that stalled. A watch without events
+/// proves nothing. A proof is a query to the store that is answered with the current revision.
+/// It counts from the time of the query, on a clock that advances during suspension.
 #[derive(Debug, Default)]
 pub struct Freshness {
     applied: StoreRevision,
-    proven: Option<Proof>,
-    unmet: Option<Proof>,
+    newest: Option<Proof>,
+    pending: Option<Proof>,
 }
 
-/// What the store said when it was asked.
+/// The answer of the store to a query of its revision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Proof {
-    /// When it was asked, at the earliest.
+    /// The earliest time at which the query was made.
     pub asked_at: MonoTime,
-    /// The revision that it had then.
+    /// The revision at that time.
     pub revision: StoreRevision,
 }
 
 impl Freshness {
-    /// Everything up to `revision` has been taken in.
+    /// Records that everything up to `revision` has been applied.
     pub fn record_applied(&mut self, revision: StoreRevision) {
         self.applied = self.applied.max(revision);
-        match self.unmet {
+        match self.pending {
             Some(p) if p.revision > self.applied => {}
             Some(p) => {
-                self.unmet = None;
+                self.pending = None;
                 self.adopt(p);
             }
             None => {}
         }
     }
 
-    /// The store said that it was at `revision` when asked at `asked`. True if
-    /// something is missing here, which a watch should have brought.
+    /// Records that the store, queried at `asked`, was at `revision`. Returns true if changes
+    /// are missing here that a watch should have delivered.
     pub fn record_confirmation(&mut self, asked: MonoTime, revision: StoreRevision) -> bool {
         let proof = Proof {
             asked_at: asked,
@@ -52,10 +51,10 @@
         };
         match revision {
             r if r > self.applied => {
-                self.unmet = Some(proof);
+                self.pending = Some(proof);
                 true
             }
-            // An answer of an earlier era that comes late.
+            // A late answer from an earlier era.
             r if !r.is_same_era(self.applied) => false,
             _ => {
                 self.prove(proof);
@@ -64,45 +63,44 @@
         }
     }
 
-    /// Another instance has this proof. It counts here if everything up to its
-    /// revision has been taken in, so that one instance's question serves many,
-    /// and those too that the store turns away.
+    /// Adopts another instance's proof if everything up to its revision has been applied here.
+    /// One instance's query thus serves many instances, including those that the store rejects.
     pub fn adopt(&mut self, proof: Proof) {
         if self.covers(proof.revision) {
             self.prove(proof);
         }
     }
 
-    /// True if everything up to a revision has been taken in here. Of an earlier era that
-    /// cannot be told: what came after the copy that the store was restored from may
-    /// never have come here.
+    /// True if everything up to a revision has been applied here. This cannot be known for a
+    /// revision of an earlier era: changes after the copy that the store was restored from may
+    /// never have arrived here.
     fn covers(&self, revision: StoreRevision) -> bool {
         revision.is_same_era(self.applied) && revision <= self.applied
     }
 
-    /// The newest proof; none if there has been none.
+    /// The newest proof, if there has been one.
     pub fn proof(&self) -> Option<Proof> {
-        self.proven
+        self.newest
     }
 
-    /// How old the newest proof is; none if there has been none.
+    /// The age of the newest proof, if there has been one.
     pub fn age(&self, now: MonoTime) -> Option<Duration> {
-        self.proven.map(|p| now.since(p.asked_at))
+        self.newest.map(|p| now.since(p.asked_at))
     }
 
-    /// True while the store is known to hold something that is missing here.
+    /// True while the store is known to hold changes that are missing here.
     pub fn is_behind(&self) -> bool {
-        self.unmet.is_some()
+        self.pending.is_some()
     }
 
-    /// The revision up to which everything has been taken in.
+    /// The revision up to which everything has been applied.
     pub fn revision(&self) -> StoreRevision {
         self.applied
     }
 
     fn prove(&mut self, proof: Proof) {
-        if self.proven.is_none_or(|p| p.asked_at < proof.asked_at) {
-            self.proven = Some(proof);
+        if self.newest.is_none_or(|p| p.asked_at < proof.asked_at) {
+            self.newest = Some(proof);
         }
     }
 }
--- a/crates/serving/src/heartbeat_peers.rs
+++ b/crates/serving/src/heartbeat_peers.rs
@@ -1,4 +1,4 @@
-//! With which instances heartbeats are exchanged.
+//! Selects the instances that heartbeats are exchanged with.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -12,60 +12,58 @@
 use crate::ShardMap;
 use crate::owners;
 
-/// Owners of a shard that are watched: the one that is asked, and the one that is asked
-/// next.
-const OWNERS: usize = 2;
-/// Shards whose owners an instance watches at most. Where there are no more, it watches
-/// those of all.
-const MOST_SHARDS: usize = 8;
-/// How long the owners of a shard are watched after it was last used.
-const USED_FOR: Duration = Duration::from_secs(5);
-/// Others that an instance watches.
-const NEXT: usize = 3;
+/// Owners of each shard that are monitored: the owner that is asked first and its successor.
+const OWNERS_PER_SHARD: usize = 2;
+/// Shards whose owners an instance monitors at most. If there are no more shards than this, the
+/// owners of all are monitored.
+const MAX_SHARDS: usize = 8;
+/// Time for which the owners of a shard are monitored after it was last used.
+const RECENT_USE: Duration = Duration::from_secs(5);
+/// Successors in the order of incarnations that an instance monitors.
+const SUCCESSORS: usize = 3;
 
-/// Which shards this instance used lately.
+/// The shards that this instance used recently.
 ///
-/// The load that it answers: many instances with few requests each before many shards.
-/// Where each watched the owners of all shards, heartbeats took more of the processor
-/// than requests, and the owners answered each instance of the fleet.
+/// Keeps heartbeats cheap where many instances with few requests each use many shards. When
+/// every instance monitored the owners of all shards, heartbeats took more processor time than
+/// requests, and each owner answered every instance of the fleet.
 #[derive(Debug, Default)]
 pub struct RecentShards {
     used: HashMap<Shard, MonoTime>,
 }
 
 impl RecentShards {
-    /// A request's stages are asked for at a shard, or done here; true if that was not
-    /// so lately.
+    /// Records that stages of a request are run in a shard, by its owner or by this instance.
+    /// Returns true if the shard was not in use recently.
     pub fn record_use(&mut self, now: MonoTime, shard: &Shard) -> bool {
         match self.used.get_mut(shard) {
-            Some(at) => now.since(std::mem::replace(at, now)) >= USED_FOR,
+            Some(at) => now.since(std::mem::replace(at, now)) >= RECENT_USE,
             None => self.used.insert(shard.clone(), now).is_none(),
         }
     }
 
-    /// The shards whose owners are watched: all if they are few, else those that were
-    /// used last.
+    /// The shards whose owners are monitored: all if they are few, else the most recently used.
     pub fn monitored(&mut self, now: MonoTime, all: &ShardMap) -> Vec<Shard> {
-        if all.count() <= MOST_SHARDS {
+        if all.count() <= MAX_SHARDS {
             return all.shards().cloned().collect();
         }
         self.used
-            .retain(|shard, at| now.since(*at) < USED_FOR && all.has(shard));
+            .retain(|shard, at| now.since(*at) < RECENT_USE && all.has(shard));
         let mut used: Vec<(MonoTime, Shard)> = self
             .used
             .iter()
             .map(|(shard, at)| (*at, shard.clone()))
             .collect();
         used.sort_unstable_by(|a, b| b.cmp(a));
-        used.truncate(MOST_SHARDS);
+        used.truncate(MAX_SHARDS);
         used.into_iter().map(|(_, shard)| shard).collect()
     }
 }
 
-/// The instances that `me` exchanges heartbeats with: all of a small fleet; of a larger
-/// one the owners of `shards`, the `source` from which it hears of the store, and the few
-/// that follow it in the order of their numbers, so that everybody is watched by somebody.
-/// How many these are grows neither with the fleet nor with its shards.
+/// The instances that `me` exchanges heartbeats with. In a small fleet these are all others; in
+/// a larger one the owners of `shards`, the update `source`, and the few successors in the
+/// order of incarnations, so that every instance is monitored by some other. The number of
+/// monitored instances depends neither on the size of the fleet nor on the number of shards.
 pub fn heartbeat_peers<'a>(
     me: &'a InstanceEntry,
     others: &'a [InstanceEntry],
@@ -75,27 +73,27 @@
     if others.len() <= SMALL_FLEET {
         return others.iter().map(|e| e.incarnation).collect();
     }
-    let everybody = || others.iter().chain([me]);
+    let fleet = || others.iter().chain([me]);
     let mut ids: Vec<Incarnation> = Vec::new();
     for shard in shards {
-        let first = owners(shard, everybody(), OWNERS);
+        let first = owners(shard, fleet(), OWNERS_PER_SHARD);
         ids.extend(first.into_iter().map(|e| e.incarnation));
     }
     ids.extend(source);
-    ids.extend(next_after(me.incarnation, others));
+    ids.extend(successors(me.incarnation, others));
     ids.sort_unstable();
     ids.dedup();
     ids.retain(|id| *id != me.incarnation);
     ids
 }
 
-/// Those whose numbers follow that of `me`, the lowest after the highest.
-fn next_after(me: Incarnation, others: &[InstanceEntry]) -> Vec<Incarnation> {
-    let place = |e: &InstanceEntry| (e.incarnation < me, e.incarnation);
+/// The instances whose incarnations follow that of `me`, wrapping around after the highest.
+fn successors(me: Incarnation, others: &[InstanceEntry]) -> Vec<Incarnation> {
+    let position = |e: &InstanceEntry| (e.incarnation < me, e.incarnation);
     let mut ring: Vec<&InstanceEntry> = others.iter().collect();
-    if NEXT < ring.len() {
-        ring.select_nth_unstable_by_key(NEXT, |e| place(e));
-        ring.truncate(NEXT);
+    if SUCCESSORS < ring.len() {
+        ring.select_nth_unstable_by_key(SUCCESSORS, |e| position(e));
+        ring.truncate(SUCCESSORS);
     }
     ring.into_iter().map(|e| e.incarnation).collect()
 }
--- a/crates/serving/src/instance_directory.rs
+++ b/crates/serving/src/instance_directory.rs
@@ -1,4 +1,4 @@
-//! Which instances there are, and which of them callers are told of.
+//! Tracks the instances of the fleet and selects the addresses that callers are given.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -14,122 +14,121 @@
 use crate::Strength;
 use crate::visits::Visits;
 
-/// How long an instance may stay silent before it is passed over. Three missed
-/// heartbeats; a caller sent to a dead instance loses a second.
-const SILENT_AFTER: Duration = Duration::from_millis(1_300);
-/// How long an instance that the store lists and nobody has heard counts as
-/// there: the pause between two beats and half as much again. Taken for as long as
-/// one that was heard, entries of dead starts held stages up for 1.3 s each.
-const UNHEARD_FOR: Duration = Duration::from_millis(600);
-/// How long a watched instance is silent until its entry is to be removed: five beats
-/// of 400 ms, so that one that stood still for a moment is not removed.
+/// Time without a heartbeat reply after which an instance counts as absent: three missed
+/// heartbeats. A caller that is sent to a dead instance loses about a second.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(1_300);
+/// Time for which a listed instance counts as present before its first heartbeat reply: one and
+/// a half heartbeat intervals. With the full [`HEARTBEAT_TIMEOUT`], stale entries of earlier
+/// incarnations delayed stages by 1.3 s each.
+const FIRST_HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(600);
+/// Time without a heartbeat reply after which the entry of a monitored instance is removed:
+/// five intervals of 400 ms, so that a short pause of the instance does not remove it.
 const REMOVE_AFTER: Duration = Duration::from_millis(2_000);
-/// How long after a removal was tried it is tried again.
-const REMOVE_AGAIN: Duration = Duration::from_millis(4_000);
-/// How long an instance has to write an entry again that the store lost.
-const WRITTEN_AGAIN_WITHIN: Duration = Duration::from_millis(3_000);
-/// Addresses in one answer; the users' clients take no more.
+/// Interval between two attempts to remove the same entry.
+const REMOVAL_RETRY_INTERVAL: Duration = Duration::from_millis(4_000);
+/// Time that an instance has to rewrite an entry that a restored store lacks.
+const REWRITE_GRACE: Duration = Duration::from_millis(3_000);
+/// Addresses in one answer; clients accept no more.
 const MAX_ADDRESSES: usize = 64;
-/// Instances of the caller's own zone that suffice for an answer of only these.
-const ENOUGH_NEAR: usize = 2;
+/// Instances of the caller's own zone that suffice for an answer without other zones.
+const MIN_LOCAL_INSTANCES: usize = 2;
 
-/// What an instance says of itself.
+/// The description that an instance publishes of itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct InstanceEntry {
-    /// The identity of this start of it.
+    /// The identity of this run of the instance.
     pub incarnation: Incarnation,
     /// Where callers reach it.
     pub caller_address: SocketAddr,
     /// Where other instances reach it.
     pub peer_address: SocketAddr,
-    /// The availability zone that it stands in.
+    /// Its availability zone.
     pub zone: Name,
-    /// What it can carry beside its own callers.
+    /// Its capacity beside the requests of its own callers.
     pub strength: Strength,
-    /// True once it takes no new callers.
+    /// True once it accepts no new callers.
     pub leaving: bool,
 }
 
-/// What an instance says of itself in a heartbeat.
+/// The state that an instance reports in a heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Heartbeat {
-    /// True once it takes no new callers.
+    /// True once it accepts no new callers.
     pub leaving: bool,
-    /// True if callers should come to it.
+    /// True if callers may be sent to it.
     pub ready: bool,
-    /// True once it has read what is in force.
+    /// True once it has read the contents of the store.
     pub store_loaded: bool,
 }
 
-/// A listed instance that does not answer.
+/// A listed instance that does not answer heartbeats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct UnresponsiveInstance {
-    /// Which start of it.
+    /// Its incarnation.
     pub id: Incarnation,
     /// The store's revision when its entry was written.
     pub written: StoreRevision,
-    /// For how long it has been silent.
+    /// Time since its last heartbeat reply.
     pub silent_for: Duration,
 }
 
-/// Which instances there are: those that the store lists, less those that say
-/// they leave or do not answer heartbeats.
+/// The instances of the fleet: those that the store lists, without those that are leaving or do
+/// not answer heartbeats.
 #[derive(Debug, Default)]
 pub struct InstanceDirectory {
-    known: HashMap<Incarnation, Known>,
-    /// Which start of an instance is known at an address.
-    by_peers: HashMap<SocketAddr, Incarnation>,
-    /// Those that the store does not list.
+    known: HashMap<Incarnation, Instance>,
+    /// The known incarnation at each peer address.
+    by_address: HashMap<SocketAddr, Incarnation>,
+    /// Instances that the store does not list.
     unlisted: HashSet<Incarnation>,
     visits: Visits,
 }
 
 #[derive(Debug)]
-struct Known {
+struct Instance {
     entry: InstanceEntry,
     written: StoreRevision,
-    /// When it was last heard; until the first time when it was first listed.
-    heard: MonoTime,
-    ever_heard: bool,
+    /// The last heartbeat reply; before the first reply, the time of registration.
+    last_reply: MonoTime,
+    responded: bool,
     listed: bool,
-    /// When it was found that the store had lost its entry.
-    lost_at: Option<MonoTime>,
+    /// When a restored store was first seen to lack the entry.
+    missing_since: Option<MonoTime>,
     ready: bool,
-    has_read: bool,
-    watched: bool,
-    removal_tried: Option<MonoTime>,
+    store_loaded: bool,
+    monitored: bool,
+    removal_tried_at: Option<MonoTime>,
 }
 
-impl Known {
-    /// True if it is there as far as is known: by its heartbeats if these are
-    /// exchanged with it, else by its entry.
-    fn is_there(&self, now: MonoTime) -> bool {
-        let silence = now.since(self.heard);
-        match (self.watched, self.ever_heard) {
-            (true, true) => silence < SILENT_AFTER,
-            (true, false) => silence < UNHEARD_FOR,
+impl Instance {
+    /// True if the instance counts as present: by its heartbeats if it is monitored, else by
+    /// its entry in the store.
+    fn is_present(&self, now: MonoTime) -> bool {
+        let silence = now.since(self.last_reply);
+        match (self.monitored, self.responded) {
+            (true, true) => silence < HEARTBEAT_TIMEOUT,
+            (true, false) => silence < FIRST_HEARTBEAT_TIMEOUT,
             (false, _) => self.listed,
         }
     }
 }
 
 impl InstanceDirectory {
-    /// The store lists it, in an entry that was written at this revision. A new
-    /// one has until its first heartbeat is due.
+    /// Adds an instance from a store entry that was written at the given revision. A new
+    /// instance counts as present until its first heartbeat is due.
     ///
-    /// Guards against instances that count as there after they have started anew:
-    /// their earlier entries stay until their leases run out, and stages were asked
-    /// for at these for 1.3 s each. Of two at one address the one that was written
-    /// later is there, in whatever order they are read; but one that answers is not
-    /// displaced by what a copy of the store has of an earlier start.
+    /// A restarted instance leaves an earlier entry behind until its lease expires; while these
+    /// counted as present, stages were sent to them for 1.3 s each. Of two entries with the
+    /// same address the later one wins, in any order of reading, except that a responsive
+    /// instance is not displaced by an older entry from a restored store.
     pub fn put(&mut self, now: MonoTime, entry: InstanceEntry, written: StoreRevision) {
         self.visits.add(1);
-        let other = self.by_peers.get(&entry.peer_address).copied();
+        let other = self.by_address.get(&entry.peer_address).copied();
         let other = other.filter(|id| *id != entry.incarnation);
-        let answers = |k: &Known| k.ever_heard && now.since(k.heard) < SILENT_AFTER;
-        // One that was heard in place of a dead start has that start's revision.
+        let answers = |k: &Instance| k.responded && now.since(k.last_reply) < HEARTBEAT_TIMEOUT;
+        // `record_restart` leaves an instance with the revision of its earlier incarnation.
         let is_later =
-            |k: &Known| k.written >= written || (!k.written.is_same_era(written) && answers(k));
+            |k: &Instance| k.written >= written || (!k.written.is_same_era(written) && answers(k));
         match other.and_then(|id| self.known.get(&id)) {
             Some(other) if is_later(other) => return,
             _ => {}
@@ -138,40 +137,40 @@
             self.forget(other);
         }
         self.unlisted.remove(&entry.incarnation);
-        let known = self.known.entry(entry.incarnation).or_insert(Known {
+        let known = self.known.entry(entry.incarnation).or_insert(Instance {
             entry: entry.clone(),
             written,
-            heard: now,
-            ever_heard: false,
+            last_reply: now,
+            responded: false,
             listed: true,
-            lost_at: None,
+            missing_since: None,
             ready: true,
-            has_read: true,
-            watched: true,
-            removal_tried: None,
+            store_loaded: true,
+            monitored: true,
+            removal_tried_at: None,
         });
         known.listed = true;
-        known.lost_at = None;
+        known.missing_since = None;
         known.written = known.written.max(written);
         known.entry.leaving |= entry.leaving;
-        self.by_peers
+        self.by_address
             .insert(known.entry.peer_address, entry.incarnation);
     }
 
-    /// The store lists these and no others. Without this, an instance whose entry
-    /// ran out while the history of changes was lost would be named for good.
+    /// Marks all instances outside `ids` as not listed. Without this, an instance whose entry
+    /// expired while the change history was lost would stay listed forever.
     ///
-    /// Those that a copy of the store lacks write their entries again, and stay listed
-    /// until they had time for it. Else a large fleet, in which each is watched by a few,
-    /// would lose all that started lately from sight at once.
+    /// Instances that a restored store lacks rewrite their entries, and stay listed until they
+    /// have had time to do so. Otherwise a large fleet, in which only a few instances monitor
+    /// each instance, would lose all recently started instances at once.
     pub fn replace_listed(&mut self, now: MonoTime, ids: &[Incarnation], reading: Reading) {
         let ids: HashSet<Incarnation> = ids.iter().copied().collect();
         for (id, known) in &mut self.known {
             self.visits.add(1);
             match reading {
-                _ if ids.contains(id) => known.lost_at = None,
-                Reading::Restored => known.lost_at = Some(now),
-                Reading::Complete if known.lost_at.is_some() => {}
+                _ if ids.contains(id) => known.missing_since = None,
+                Reading::Restored => known.missing_since = Some(now),
+                Reading::Complete if known.missing_since.is_some() => {}
                 Reading::Complete => {
                     known.listed = false;
                     self.unlisted.insert(*id);
@@ -180,219 +179,221 @@
         }
     }
 
-    /// The store lists it no more. While heartbeats arrive it is still there:
-    /// its lease may have run out while the store was away.
+    /// Marks an instance as not listed. It stays present while it answers heartbeats: its lease
+    /// may have expired while the store was unavailable.
     pub fn unlist(&mut self, id: Incarnation) {
         if let Some(known) = self.known.get_mut(&id) {
             known.listed = false;
-            known.lost_at = None;
+            known.missing_since = None;
             self.unlisted.insert(id);
         }
     }
 
     /// It answered a heartbeat.
-    pub fn record_heartbeat(&mut self, now: MonoTime, id: Incarnation, said: Heartbeat) {
+    pub fn record_heartbeat(&mut self, now: MonoTime, id: Incarnation, heartbeat: Heartbeat) {
         if let Some(known) = self.known.get_mut(&id) {
-            known.heard = now;
-            known.ever_heard = true;
-            known.ready = said.ready;
-            known.has_read = said.store_loaded;
-            known.entry.leaving |= said.leaving;
+            known.last_reply = now;
+            known.responded = true;
+            known.ready = heartbeat.ready;
+            known.store_loaded = heartbeat.store_loaded;
+            known.entry.leaving |= heartbeat.leaving;
         }
     }
 
-    /// A later start of an instance answered a heartbeat in its place.
+    /// Replaces an incarnation by a later one that answered a heartbeat at its address.
     ///
-    /// Guards against the time between a start and the arrival of its entry, in
-    /// which nobody asked it for anything: after all instances had started anew
-    /// they did without each other for up to a second.
+    /// Without this, a restarted instance receives no work until its entry arrives: after a
+    /// restart of the whole fleet, the instances did not use each other for up to a second.
     pub fn record_restart(&mut self, now: MonoTime, earlier: Incarnation, later: Incarnation) {
         if let Some(mut known) = self.forget(earlier)
             && !self.known.contains_key(&later)
         {
             known.entry.incarnation = later;
             known.entry.leaving = false;
-            known.heard = now;
-            known.ever_heard = true;
+            known.last_reply = now;
+            known.responded = true;
             self.insert(known);
         }
     }
 
-    /// Those that answer and that the store does not list.
+    /// Instances that answer heartbeats but are not listed in the store.
     pub fn unlisted(&self, now: MonoTime) -> impl Iterator<Item = &InstanceEntry> {
-        let heard = move |k: &&Known| k.ever_heard && now.since(k.heard) < SILENT_AFTER;
+        let responsive =
+            move |k: &&Instance| k.responded && now.since(k.last_reply) < HEARTBEAT_TIMEOUT;
         let unlisted = self.unlisted.iter().inspect(|_| self.visits.add(1));
         let unlisted = unlisted.filter_map(|id| self.known.get(id));
         let unlisted = unlisted.filter(|k| !k.entry.leaving);
-        unlisted.filter(heard).map(|k| &k.entry)
+        unlisted.filter(responsive).map(|k| &k.entry)
     }
 
-    /// Another instance hears one that the store does not list.
+    /// Adds an instance that another instance reports and the store does not list.
     ///
-    /// Guards against two owners of the same batches for as long as an instance is
-    /// cut off from the store alone: its entry runs out, those that were there
-    /// before go on hearing it, and one that starts meanwhile reads of all but it.
+    /// Guards against two owners of the same batches while an instance is cut off from the
+    /// store alone: its entry expires, running instances still receive its heartbeats, and a
+    /// newly started instance finds every entry but this one.
     pub fn add_reported(&mut self, now: MonoTime, entry: InstanceEntry) {
         self.visits.add(1);
-        if self.by_peers.contains_key(&entry.peer_address) {
+        if self.by_address.contains_key(&entry.peer_address) {
             return;
         }
-        let known = Known {
+        let known = Instance {
             written: StoreRevision::ZERO,
-            heard: now,
-            ever_heard: false,
+            last_reply: now,
+            responded: false,
             listed: false,
-            lost_at: None,
+            missing_since: None,
             ready: true,
-            has_read: true,
-            watched: true,
-            removal_tried: None,
+            store_loaded: true,
+            monitored: true,
+            removal_tried_at: None,
             entry,
         };
         self.insert(known);
     }
 
-    /// Heartbeats are exchanged with these instances and no others.
+    /// Sets the instances that heartbeats are exchanged with.
     pub fn set_monitored(&mut self, now: MonoTime, ids: &[Incarnation]) {
         for (id, known) in &mut self.known {
-            let watched = ids.contains(id);
-            if watched && !known.watched {
-                known.heard = now;
-                known.ever_heard = false;
+            let monitored = ids.contains(id);
+            if monitored && !known.monitored {
+                known.last_reply = now;
+                known.responded = false;
             }
-            known.watched = watched;
+            known.monitored = monitored;
         }
     }
 
-    /// The watched ones that the store lists and that do not answer; none if nobody
-    /// answers at all: then it is this instance that is cut off.
+    /// Monitored instances that are listed and do not answer heartbeats. Empty if no instance
+    /// answers, since this instance is then the one that is cut off.
     pub fn unresponsive(&self, now: MonoTime) -> Vec<UnresponsiveInstance> {
-        let watched = || self.known.values().filter(|k| k.watched);
-        if !watched().any(|k| k.ever_heard && now.since(k.heard) < SILENT_AFTER) {
+        let monitored = || self.known.values().filter(|k| k.monitored);
+        if !monitored().any(|k| k.responded && now.since(k.last_reply) < HEARTBEAT_TIMEOUT) {
             return Vec::new();
         }
-        let tried = |k: &Known| {
-            let at = k.removal_tried;
-            at.is_some_and(|at| now.since(at) < REMOVE_AGAIN)
+        let tried = |k: &Instance| {
+            let at = k.removal_tried_at;
+            at.is_some_and(|at| now.since(at) < REMOVAL_RETRY_INTERVAL)
         };
-        let silent = watched().filter(|k| k.listed && !tried(k));
-        let silent = silent.map(|k| UnresponsiveInstance {
+        let unresponsive = monitored().filter(|k| k.listed && !tried(k));
+        let unresponsive = unresponsive.map(|k| UnresponsiveInstance {
             id: k.entry.incarnation,
             written: k.written,
-            silent_for: now.since(k.heard),
+            silent_for: now.since(k.last_reply),
         });
-        silent.filter(|s| s.silent_for >= REMOVE_AFTER).collect()
+        unresponsive
+            .filter(|s| s.silent_for >= REMOVE_AFTER)
+            .collect()
     }
 
-    /// The removal of a silent one's entry was tried.
+    /// Records an attempt to remove the entry of an unresponsive instance.
     pub fn record_removal_attempt(&mut self, now: MonoTime, id: Incarnation) {
         if let Some(known) = self.known.get_mut(&id) {
-            known.removal_tried = Some(now);
+            known.removal_tried_at = Some(now);
         }
     }
 
-    /// Forgets those that are neither listed nor heard.
+    /// Removes instances that are neither listed nor answering heartbeats.
     pub fn expire(&mut self, now: MonoTime) {
         for (id, known) in &mut self.known {
-            let lost = known.lost_at;
-            if lost.is_some_and(|at| now.since(at) >= WRITTEN_AGAIN_WITHIN) {
+            let lost = known.missing_since;
+            if lost.is_some_and(|at| now.since(at) >= REWRITE_GRACE) {
                 known.listed = false;
-                known.lost_at = None;
+                known.missing_since = None;
                 self.unlisted.insert(*id);
             }
         }
-        let over = |id: &&Incarnation| match self.known.get(id) {
-            Some(known) => now.since(known.heard) >= SILENT_AFTER * 4,
+        let expired = |id: &&Incarnation| match self.known.get(id) {
+            Some(known) => now.since(known.last_reply) >= HEARTBEAT_TIMEOUT * 4,
             None => true,
         };
-        let over = self.unlisted.iter().filter(over).copied();
-        let over: Vec<Incarnation> = over.collect();
-        for id in over {
+        let expired = self.unlisted.iter().filter(expired).copied();
+        let expired: Vec<Incarnation> = expired.collect();
+        for id in expired {
             self.forget(id);
         }
     }
 
-    /// All that are known.
+    /// All known instances.
     pub fn entries(&self) -> impl Iterator<Item = &InstanceEntry> {
         self.known.values().map(|k| &k.entry)
     }
 
-    /// Those that answer and do not leave.
+    /// Instances that are present and not leaving.
     pub fn live(&self, now: MonoTime) -> impl Iterator<Item = &InstanceEntry> {
         self.known
             .values()
-            .filter(move |k| k.is_there(now) && !k.entry.leaving)
+            .filter(move |k| k.is_present(now) && !k.entry.leaving)
             .map(|k| &k.entry)
     }
 
-    /// Those of the live ones that can fill batches.
+    /// Live instances that have loaded the store and so can fill batches.
     ///
-    /// Guards against an owner that has started while the store is away: it knows no
-    /// upstream, each of those that asked it went on to another by itself, and three
-    /// filled batches beside each other until the backlog of seconds was done.
+    /// Guards against an owner that started while the store was unavailable: it knows no
+    /// upstream, so each instance that asked it chose another owner on its own, and three
+    /// owners filled batches in parallel until a backlog of several seconds was cleared.
     pub fn live_loaded(&self, now: MonoTime) -> impl Iterator<Item = &InstanceEntry> {
-        let able = move |k: &&Known| k.is_there(now) && !k.entry.leaving && k.has_read;
-        self.known.values().filter(able).map(|k| &k.entry)
+        let loaded = move |k: &&Instance| k.is_present(now) && !k.entry.leaving && k.store_loaded;
+        self.known.values().filter(loaded).map(|k| &k.entry)
     }
 
-    /// True if the instance at this address is there, whichever start of it.
-    pub fn is_present_at(&self, now: MonoTime, peers: SocketAddr) -> bool {
-        let id = self.by_peers.get(&peers);
+    /// True if any incarnation of the instance at this address is present.
+    pub fn is_present_at(&self, now: MonoTime, peer_address: SocketAddr) -> bool {
+        let id = self.by_address.get(&peer_address);
         let known = id.and_then(|id| self.known.get(id));
-        known.is_some_and(|k| k.is_there(now))
+        known.is_some_and(|k| k.is_present(now))
     }
 
-    /// What a start of an instance says of itself; none if it is not known.
+    /// The entry of an incarnation, if it is known.
     pub fn entry(&self, id: Incarnation) -> Option<&InstanceEntry> {
         self.known.get(&id).map(|k| &k.entry)
     }
 
-    /// True if it answered a heartbeat lately.
+    /// True if this incarnation is present.
     pub fn is_present(&self, now: MonoTime, id: Incarnation) -> bool {
         let known = self.known.get(&id);
-        known.is_some_and(|k| k.is_there(now))
+        known.is_some_and(|k| k.is_present(now))
     }
 
-    /// The addresses for a caller in `zone`: those of its own zone if there are
-    /// enough, else all. `own` stands for the instance that answers.
+    /// The addresses for a caller in `zone`: those of its own zone if there are enough, else
+    /// all. `own` is the entry of the answering instance.
     pub fn addresses(
         &self,
         now: MonoTime,
         zone: &str,
         own: Option<&InstanceEntry>,
     ) -> Vec<SocketAddr> {
-        let others = self.known.values().filter(|k| k.is_there(now));
+        let others = self.known.values().filter(|k| k.is_present(now));
         let others = others.filter(|k| k.ready && !k.entry.leaving);
         let mut all: Vec<&InstanceEntry> = others.map(|k| &k.entry).chain(own).collect();
         all.sort_by_key(|e| (e.zone.as_str() != zone, e.caller_address));
-        let near = all.iter().filter(|e| e.zone.as_str() == zone).count();
-        if near >= ENOUGH_NEAR {
-            all.truncate(near);
+        let local = all.iter().filter(|e| e.zone.as_str() == zone).count();
+        if local >= MIN_LOCAL_INSTANCES {
+            all.truncate(local);
         }
         let addresses = all.into_iter().map(|e| e.caller_address);
         addresses.take(MAX_ADDRESSES).collect()
     }
 
-    /// Instances that were looked at one by one since the start, but for the lists that
-    /// are asked for as a whole.
+    /// Number of instances visited since the start, without iterations over a whole list that a
+    /// caller asked for.
     pub fn visited(&self) -> u64 {
         self.visits.count()
     }
 
-    fn insert(&mut self, known: Known) {
+    fn insert(&mut self, known: Instance) {
         let id = known.entry.incarnation;
-        self.by_peers.insert(known.entry.peer_address, id);
+        self.by_address.insert(known.entry.peer_address, id);
         if !known.listed {
             self.unlisted.insert(id);
         }
         self.known.insert(id, known);
     }
 
-    fn forget(&mut self, id: Incarnation) -> Option<Known> {
+    fn forget(&mut self, id: Incarnation) -> Option<Instance> {
         self.unlisted.remove(&id);
         let known = self.known.remove(&id)?;
-        if self.by_peers.get(&known.entry.peer_address) == Some(&id) {
-            self.by_peers.remove(&known.entry.peer_address);
+        if self.by_address.get(&known.entry.peer_address) == Some(&id) {
+            self.by_address.remove(&known.entry.peer_address);
         }
         Some(known)
     }
--- a/crates/serving/src/lib.rs
+++ b/crates/serving/src/lib.rs
@@ -1,12 +1,12 @@
 //! Decisions of the serving path, without I/O.
 //!
-//! What the operator put in force ([`Router`]), which upstreams and instances
-//! there are ([`UpstreamDirectory`], [`InstanceDirectory`]), how old that
-//! knowledge is ([`Freshness`]), which pieces of stages go where and when
-//! ([`StageDesk`]), where a prompt goes ([`place_prompt`]) and what may be sent
-//! again ([`RetryBudget`]), and which requests end the upstreams that run them
-//! ([`CrashEvidence`], [`QuarantineList`]). Time is passed in; nothing reads a clock or a
-//! socket, so that tests replay loads in virtual time.
+//! [`Router`] holds the operator's configuration, [`UpstreamDirectory`] and
+//! [`InstanceDirectory`] track upstreams and instances, and [`Freshness`] tracks how recent
+//! this knowledge is. [`StageDesk`] schedules the pieces of stages, [`place_prompt`] selects
+//! the upstream of a prompt, and [`RetryBudget`] limits retries. [`CrashEvidence`] and
+//! [`QuarantineList`] find and block requests that crash the upstreams that run them. Time is
+//! passed in and nothing reads a clock or a socket, so that tests can replay loads in virtual
+//! time.
 
 mod backoffs;
 mod batch_call;
--- a/crates/serving/src/prompt.rs
+++ b/crates/serving/src/prompt.rs
@@ -1,4 +1,4 @@
-//! What a request says of its prompt.
+//! Describes a request's prompt.
 
 use compact_str::CompactString;
 
@@ -7,28 +7,27 @@
 pub struct PromptPart {
     /// The part's identity.
     pub id: u64,
-    /// Its tokens.
+    /// The part's length in tokens.
     pub tokens: u32,
 }
 
-/// What a request says of its prompt.
+/// The prompt of a request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Prompt {
-    /// The model that is to run it.
+    /// The model that runs the request.
     pub model: CompactString,
-    /// Tokens of the prompt.
+    /// The prompt's length in tokens.
     pub tokens_in: u32,
-    /// Tokens that may be generated.
+    /// The number of tokens that may be generated.
     pub tokens_out: u32,
-    /// Its parts in order; the last is the request's own.
+    /// Its parts in order; the last one belongs to the request alone.
     pub parts: Vec<PromptPart>,
 }
 
 impl Prompt {
-    /// What requests with the same memory have in common: the model and the
-    /// last part that others may share. That is the one before the request's
-    /// own; the earlier ones are common to many sessions and are soon
-    /// everywhere.
+    /// A hash of the model and the last part that other requests may share, which requests that
+    /// use the same cached tokens have in common. That part is the one before the request's
+    /// own; earlier parts are common to many sessions and are soon cached everywhere.
     pub fn session(&self) -> u64 {
         let model = self.model.bytes().fold(FNV_OFFSET, |h, b| {
             (h ^ u64::from(b)).wrapping_mul(FNV_PRIME)
@@ -42,6 +41,6 @@
     }
 }
 
-/// The start and the factor of the 64-bit FNV-1a hash.
+/// Offset basis and prime of the 64-bit FNV-1a hash.
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
--- a/crates/serving/src/prompt_placement.rs
+++ b/crates/serving/src/prompt_placement.rs
@@ -1,36 +1,35 @@
-//! Which upstream a prompt goes to.
+//! Selects the upstream for a prompt.
 
 use std::net::SocketAddr;
 
 use jd_types::spread;
 use jd_types::spread_address;
 
-/// What a placement looks at of one upstream.
+/// The state of one upstream that matters for the placement of prompts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptUpstream {
-    /// Where it answers.
+    /// The address that it answers at.
     pub address: SocketAddr,
-    /// Requests of this instance that it works on.
+    /// Requests of this instance in progress there.
     pub in_flight: u32,
-    /// False if it fails or is left out for another reason.
+    /// False if it is failing or excluded for another reason.
     pub usable: bool,
 }
 
-/// The part of an upstream's slots that one instance fills before a prompt
-/// goes to its second choice, in hundredths of its even share. A miss reads
-/// thousands of tokens again, so that a longer wait is the cheaper of the two.
+/// The number of requests that one instance sends to an upstream before a prompt goes to its
+/// second choice, in percent of the instance's even share of slots. A cache miss processes
+/// thousands of tokens again, so that a longer wait is cheaper.
 const SHARE_PERCENT: u32 = 150;
-/// What an instance may always have at one upstream.
+/// Requests that an instance may always have in progress at one upstream.
 const SHARE_FLOOR: u32 = 6;
 
-/// The upstreams in the order in which `session` tries them; those at their
-/// bound come last, the unusable ones not at all.
+/// Returns the indices of the upstreams in the order in which `session` tries them. Upstreams
+/// at their bound come last; unusable ones are left out.
 ///
-/// The load that it answers: prompts of one session share thousands of tokens
-/// that an upstream keeps. By rendezvous hashing all instances find the same
-/// one without telling each other, and when one leaves only its own sessions
-/// move. A popular session spreads to its second and third choice, always the
-/// same ones.
+/// The prompts of one session share thousands of tokens that an upstream caches. With
+/// rendezvous hashing all instances choose the same upstream without communication, and when an
+/// upstream leaves, only its own sessions move. A busy session spreads to its second and third
+/// choice, which are always the same.
 pub fn place_prompt(
     session: u64,
     upstreams: &[PromptUpstream],
--- a/crates/serving/src/quarantine_list.rs
+++ b/crates/serving/src/quarantine_list.rs
@@ -1,4 +1,4 @@
-//! Requests that are suspected, quarantined or released.
+//! Tracks requests that are suspected, quarantined or released.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -8,24 +8,23 @@
 use crate::Content;
 use crate::Finding;
 
-/// How long something is held against a request: long enough for operators to act, short
-/// enough that what was wrongly held is over while its caller still remembers it. A
-/// request that is let through afterwards needs one more end to be quarantined again.
+/// The lifetime of an entry: long enough for operators to act, and short enough that a mistaken
+/// quarantine ends while the caller still remembers the request. A request that is let through
+/// afterwards is quarantined again after one more crash.
 pub const QUARANTINE_TTL: Duration = Duration::from_secs(600);
-/// The most requests that something is held against. Each has cost several upstreams, so
-/// that more of them within [`QUARANTINE_TTL`] mean another trouble. With 24 bytes each, all fit
-/// into one heartbeat.
-const MOST: usize = 128;
+/// Requests in the list. Each has crashed several upstreams, so that more of them within
+/// [`QUARANTINE_TTL`] indicate another fault. With 24 bytes each, all fit into one heartbeat.
+const MAX_ENTRIES: usize = 128;
 
-/// What is held against a request, from the weakest to what overrules the others.
+/// The phase of an entry; of two phases in the same round the later one takes precedence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum QuarantinePhase {
-    /// It was at upstreams that ended, one after the other. Who has seen it run to its end
-    /// is to say so.
+    /// The request was in progress at consecutive crashes of upstreams. Instances that saw it
+    /// complete report this.
     Suspected,
-    /// It ends the upstreams that run it, and is kept from all of them.
+    /// The request crashes the upstreams that run it and is not sent to any of them.
     Quarantined,
-    /// It was held against it wrongly.
+    /// The request was suspected or quarantined by mistake.
     Released,
 }
 
@@ -40,161 +39,163 @@
     }
 }
 
-/// A phase and how often there has been one before: a later round goes before an
-/// earlier one, and within a round the later phase. So all instances come to hold the
-/// same, in whatever order they hear of it.
+/// A phase and its round. A later round takes precedence over an earlier one, and a later phase
+/// within a round over an earlier phase, so that all instances converge to the same state, in
+/// whatever order they receive updates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QuarantineState {
-    /// Counts from 1, anew after each release.
+    /// Counts from 1 and increases when a released request is suspected or quarantined again.
     pub round: u32,
-    /// What is held against it in this round.
+    /// The phase in this round.
     pub phase: QuarantinePhase,
 }
 
 impl QuarantineState {
-    /// The first round's.
+    /// The state of the first round.
     pub fn first(phase: QuarantinePhase) -> QuarantineState {
         QuarantineState { round: 1, phase }
     }
 
-    /// True while it may turn out to be innocent.
+    /// True unless the request was released.
     pub fn is_active(self) -> bool {
         self.phase != QuarantinePhase::Released
     }
 }
 
-/// What one instance holds against requests.
+/// The entries of all suspected, quarantined or released requests that an instance knows.
 #[derive(Debug, Clone, Default)]
 pub struct QuarantineList {
-    held: HashMap<Content, QuarantineEntry>,
+    entries: HashMap<Content, QuarantineEntry>,
 }
 
-/// What is held against one request.
+/// The entry of one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QuarantineEntry {
-    /// What is held against it now.
+    /// The current state.
     pub state: QuarantineState,
-    /// When this instance came to hold it.
+    /// When this instance recorded the state.
     pub recorded_at: MonoTime,
-    /// When it is forgotten.
+    /// When the entry expires.
     pub expires_at: MonoTime,
-    /// What the store is known to have.
+    /// The state that the store is known to hold.
     pub stored: Option<QuarantineState>,
 }
 
 impl QuarantineEntry {
-    /// When it was first held anywhere, to within the time that messages take.
+    /// When the entry was first recorded by any instance, up to the delay of messages.
     pub fn first_recorded(&self) -> MonoTime {
         self.expires_at.before(QUARANTINE_TTL)
     }
 }
 
 impl QuarantineList {
-    /// Takes in what somebody holds against a request; true if that is news.
+    /// Merges a state received from another instance, the store or this instance's own
+    /// findings; returns true if it was new.
     pub fn merge(
         &mut self,
         now: MonoTime,
         content: Content,
-        told: QuarantineState,
-        left: Duration,
+        state: QuarantineState,
+        remaining: Duration,
     ) -> bool {
-        self.forget(now);
-        let lapses = now + left.min(QUARANTINE_TTL);
-        let known = self.held.get(&content);
-        if left.is_zero() || known.is_some_and(|h| h.state >= told) {
+        self.remove_expired(now);
+        let expires_at = now + remaining.min(QUARANTINE_TTL);
+        let known = self.entries.get(&content);
+        if remaining.is_zero() || known.is_some_and(|e| e.state >= state) {
             return false;
         }
-        let stored = known.and_then(|h| h.stored);
-        if known.is_none() && self.held.len() >= MOST {
-            self.give_up_one();
+        let stored = known.and_then(|e| e.stored);
+        if known.is_none() && self.entries.len() >= MAX_ENTRIES {
+            self.evict_one();
         }
-        let held = QuarantineEntry {
-            state: told,
+        let entry = QuarantineEntry {
+            state,
             recorded_at: now,
-            expires_at: lapses,
+            expires_at,
             stored,
         };
-        self.held.insert(content, held);
+        self.entries.insert(content, entry);
         true
     }
 
-    /// The store has this of a request; none once it has nothing any more.
+    /// Records the state that the store holds for a request, if any.
     pub fn set_stored(&mut self, content: Content, state: Option<QuarantineState>) {
-        if let Some(held) = self.held.get_mut(&content) {
-            held.stored = state;
+        if let Some(entry) = self.entries.get_mut(&content) {
+            entry.stored = state;
         }
     }
 
-    /// The store has something of these requests and of no others. Without this, what it
-    /// gave up while its changes were lost would not be written again.
+    /// Records that the store holds the states of these requests and no others. Without this,
+    /// entries that expired in the store while its change history was lost would not be
+    /// rewritten.
     pub fn replace_stored(&mut self, stored: &[Content]) {
         let gone = |c: &Content| !stored.contains(c);
-        let held = self.held.iter_mut().filter(|(c, _)| gone(c));
-        held.for_each(|(_, h)| h.stored = None);
+        let entries = self.entries.iter_mut().filter(|(c, _)| gone(c));
+        entries.for_each(|(_, e)| e.stored = None);
     }
 
-    /// What is held against a request.
+    /// The entry of a request.
     pub fn get(&self, now: MonoTime, content: Content) -> Option<QuarantineEntry> {
-        let held = self.held.get(&content).copied();
-        held.filter(|h| h.expires_at > now)
+        let entry = self.entries.get(&content).copied();
+        entry.filter(|e| e.expires_at > now)
     }
 
-    /// What is to be held against a request after this finding; none if that is so already.
+    /// The state to record for a request after a finding; `None` if it is recorded already.
     ///
-    /// Guards against ends that outlive what was held for them: looked at again whenever
-    /// another upstream ends, they would renew a quarantine that has lapsed, or undo a
-    /// release, for a request that nobody has sent since.
+    /// Guards against crashes that are kept longer than the entries that they caused: when they
+    /// are evaluated again after another upstream has crashed, they would renew an expired
+    /// quarantine or undo a release, for a request that nobody has sent since.
     pub fn next_state(
         &self,
         now: MonoTime,
         finding: &Finding,
         phase: QuarantinePhase,
     ) -> Option<QuarantineState> {
-        let held = self.get(now, finding.content);
-        let next = match held {
+        let entry = self.get(now, finding.content);
+        let next = match entry {
             None if now.since(finding.last_crash) >= QUARANTINE_TTL => return None,
             None => QuarantineState::first(phase),
-            Some(h) if h.state.is_active() => QuarantineState { phase, ..h.state },
-            Some(h) if finding.last_crash <= h.recorded_at => return None,
-            Some(h) => QuarantineState {
-                round: h.state.round + 1,
+            Some(e) if e.state.is_active() => QuarantineState { phase, ..e.state },
+            Some(e) if finding.last_crash <= e.recorded_at => return None,
+            Some(e) => QuarantineState {
+                round: e.state.round + 1,
                 phase,
             },
         };
-        held.is_none_or(|h| h.state < next).then_some(next)
+        entry.is_none_or(|e| e.state < next).then_some(next)
     }
 
-    /// For how long a request is still kept from upstreams; none if it is not.
+    /// The remaining time of a request's quarantine; `None` if it is not quarantined.
     pub fn quarantine_remaining(&self, now: MonoTime, content: Content) -> Option<Duration> {
-        let held = self.get(now, content)?;
-        let quarantined = held.state.phase == QuarantinePhase::Quarantined;
-        quarantined.then(|| held.expires_at.since(now))
+        let entry = self.get(now, content)?;
+        let quarantined = entry.state.phase == QuarantinePhase::Quarantined;
+        quarantined.then(|| entry.expires_at.since(now))
     }
 
-    /// True if nothing is held against anybody.
+    /// True if there are no entries.
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.entries.is_empty()
     }
 
-    /// All that has not lapsed.
+    /// All entries that have not expired.
     pub fn entries(&self, now: MonoTime) -> impl Iterator<Item = (Content, QuarantineEntry)> {
-        let held = self.held.iter().map(|(content, held)| (*content, *held));
-        held.filter(move |(_, h)| h.expires_at > now)
+        let entries = self.entries.iter().map(|(content, e)| (*content, *e));
+        entries.filter(move |(_, e)| e.expires_at > now)
     }
 
-    fn forget(&mut self, now: MonoTime) {
-        self.held.retain(|_, h| h.expires_at > now);
+    fn remove_expired(&mut self, now: MonoTime) {
+        self.entries.retain(|_, e| e.expires_at > now);
     }
 
-    /// Gives up what matters least: a mere suspicion first, then what lapses soonest.
-    fn give_up_one(&mut self) {
-        let least = |(_, h): &(&Content, &QuarantineEntry)| {
-            let quarantined = h.state.phase == QuarantinePhase::Quarantined;
-            (quarantined, h.expires_at)
+    /// Evicts the least important entry: suspicions first, then the entry that expires first.
+    fn evict_one(&mut self) {
+        let least = |(_, e): &(&Content, &QuarantineEntry)| {
+            let quarantined = e.state.phase == QuarantinePhase::Quarantined;
+            (quarantined, e.expires_at)
         };
-        let least = self.held.iter().min_by_key(least);
+        let least = self.entries.iter().min_by_key(least);
         if let Some(content) = least.map(|(content, _)| *content) {
-            self.held.remove(&content);
+            self.entries.remove(&content);
         }
     }
 }
--- a/crates/serving/src/request_rate.rs
+++ b/crates/serving/src/request_rate.rs
@@ -1,4 +1,4 @@
-//! How many requests a second somebody takes.
+//! A rate of requests.
 
 use std::fmt;
 
@@ -6,29 +6,29 @@
 use snafu::Snafu;
 use snafu::ensure;
 
-/// How many requests a second somebody takes: a number that is not negative.
+/// A rate of requests a second; not negative.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
 pub struct RequestRate(f64);
 
-/// Why a rate cannot be read.
+/// The reason why a rate cannot be parsed.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum RateError {
-    /// It is not a decimal number.
-    #[snafu(display("`{text}` is not a number; name requests a second, such as 2.5"))]
+    /// The text is not a decimal number.
+    #[snafu(display("`{text}` is not a number; expected requests per second, such as 2.5"))]
     NotANumber {
-        /// What stands there.
+        /// The text.
         text: CompactString,
     },
-    /// It is not finite, or negative.
-    #[snafu(display("`{text}` is no rate; name requests a second from 0 on"))]
+    /// The number is not finite, or is negative.
+    #[snafu(display("`{text}` is out of range; expected requests per second, 0 or more"))]
     OutOfRange {
-        /// What stands there.
+        /// The text.
         text: CompactString,
     },
 }
 
-/// The longest part of a text that an error quotes, in characters.
-const QUOTED: usize = 40;
+/// Characters of the text that an error quotes at most.
+const MAX_QUOTED: usize = 40;
 
 impl RequestRate {
     /// Requests a second.
@@ -41,7 +41,7 @@
     type Error = RateError;
 
     fn try_from(text: &str) -> Result<RequestRate, RateError> {
-        let quoted = || CompactString::from_iter(text.chars().take(QUOTED));
+        let quoted = || CompactString::from_iter(text.chars().take(MAX_QUOTED));
         let number: Option<f64> = text.trim().parse().ok();
         let number = number.ok_or_else(|| RateError::NotANumber { text: quoted() })?;
         ensure!(
--- a/crates/serving/src/retry_after.rs
+++ b/crates/serving/src/retry_after.rs
@@ -1,28 +1,29 @@
-//! How long somebody wants to be left alone.
+//! The pause that a refusal asks for.
 
 use std::time::Duration;
 
 use compact_str::CompactString;
 use snafu::Snafu;
 
-/// The longest part of a text that an error quotes, in characters.
-const QUOTED: usize = 40;
+/// Characters of the text that an error quotes at most.
+const MAX_QUOTED: usize = 40;
 
-/// How long somebody who refuses a request wants nothing more, as HTTP's `Retry-After`
-/// tells it in seconds.
+/// The pause that a refusal asks for, as in HTTP's `Retry-After` in seconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RetryAfter(Duration);
 
-/// The text is not a number of seconds.
+/// The text is not a valid number of seconds.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
-#[snafu(display("`{text}` is not a number of seconds from 0 on; name one, such as 1.5"))]
+#[snafu(display(
+    "`{text}` is not a valid delay; expected a number of seconds, 0 or more, such as 1.5"
+))]
 pub struct RetryAfterError {
-    /// What stands there.
+    /// The text.
     text: CompactString,
 }
 
 impl RetryAfter {
-    /// For how long.
+    /// The length of the pause.
     pub fn wait(self) -> Duration {
         self.0
     }
@@ -39,7 +40,7 @@
                 Ok(RetryAfter(wait.unwrap_or(Duration::MAX)))
             }
             _ => Err(RetryAfterError {
-                text: CompactString::from_iter(text.chars().take(QUOTED)),
+                text: CompactString::from_iter(text.chars().take(MAX_QUOTED)),
             }),
         }
     }
--- a/crates/serving/src/revision.rs
+++ b/crates/serving/src/revision.rs
@@ -1,22 +1,23 @@
-//! Moments in the life of the store.
+//! Revisions of the store.
 
 use std::fmt;
 
-/// A moment in the life of the store: its era, and its revision in that era.
+/// A revision of the store and the era that it belongs to.
 ///
-/// A store that comes back from an older copy gives out revisions again for other
-/// changes, in a higher era. Revisions of different eras say nothing of each other; of
-/// the two moments the one in the higher era is the later one.
+/// A store that is restored from an older copy assigns the same revisions to other changes, in
+/// a higher era. Revisions of different eras cannot be compared, but the higher era is the
+/// later one.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StoreRevision {
-    /// Rises each time the store comes back from a copy; 0 where it does not tell.
+    /// Increases each time the store is restored from a copy; 0 if the store does not report
+    /// it.
     pub era: u64,
-    /// Rises with each change in one era.
+    /// Increases with each change within an era.
     pub revision: u64,
 }
 
 impl StoreRevision {
-    /// Before anything was read.
+    /// The revision before anything was read.
     pub const ZERO: StoreRevision = StoreRevision {
         era: 0,
         revision: 0,
--- a/crates/serving/src/route.rs
+++ b/crates/serving/src/route.rs
@@ -4,15 +4,14 @@
 
 use compact_str::CompactString;
 
-/// What may be repeated of a request.
+/// Whether and how a request may be retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryMode {
     /// It may run any number of times.
     Idempotent,
     /// It may run at most once.
     Once,
-    /// A stream of events that may go on at another upstream after its last
-    /// whole event.
+    /// A stream of events that may resume at another upstream after its last complete event.
     Resumable,
     /// A stream of events that may start at most once.
     StreamOnce,
@@ -30,21 +29,21 @@
     }
 }
 
-/// A service that a route leads to, with its part of the requests.
+/// A service that a route leads to, with its weight.
 #[derive(Debug, Clone)]
 pub struct Target {
     /// The service's name.
     pub service: CompactString,
-    /// Its part, relative to the other targets'.
+    /// Its share of the requests, relative to the other targets.
     pub weight: u32,
 }
 
-/// Work that has to be done before a request can run.
+/// A stage that has to run before a request.
 #[derive(Debug, Clone)]
 pub struct StageSpec {
-    /// The service that does it.
+    /// The service that runs it.
     pub service: CompactString,
-    /// The stages whose results it needs, by number.
+    /// The indices of the stages whose results it needs.
     pub after: Vec<usize>,
     /// The approximate size of one result, in bytes.
     pub result_bytes: u64,
@@ -57,33 +56,33 @@
     pub name: CompactString,
     /// The host that it belongs to.
     pub host: CompactString,
-    /// The beginning of its paths; begins and ends with a slash.
+    /// The prefix of its paths; begins and ends with a slash.
     pub prefix: CompactString,
-    /// What may be repeated.
+    /// Whether and how its requests may be retried.
     pub retry_mode: RetryMode,
-    /// The longest time that a request may be kept waiting.
+    /// The longest time that a request may wait for its answer.
     pub timeout: Duration,
-    /// The time within which an answer is worth most.
+    /// The target time for an answer.
     pub objective: Duration,
     /// 0 is the most urgent.
     pub priority: u8,
-    /// Where its requests go; at least one.
+    /// The services of its requests; at least one.
     pub targets: Vec<Target>,
     /// Upstreams that one request may be sent to.
     pub max_attempts: u32,
-    /// What has to be done before.
+    /// The stages that run before its requests.
     pub stages: Vec<StageSpec>,
     /// True if no credential is needed.
     pub public: bool,
     /// True if requests carry prompts whose parts upstreams cache.
     pub prompts: bool,
-    /// The longest pause between two events of an answer that is in time.
+    /// The longest pause between two events of an answer that counts as timely.
     pub event_gap: Option<Duration>,
 }
 
 impl Route {
-    /// The service of a request: by weight, and the same for the same `seed`,
-    /// so that requests with a common prompt stay together.
+    /// The service of a request, chosen by weight. The same `seed` gives the same service, so
+    /// that requests with a common prompt stay together.
     pub fn target(&self, seed: u64) -> Option<&CompactString> {
         let total: u64 = self.targets.iter().map(|t| u64::from(t.weight)).sum();
         let mut at = match total {
--- a/crates/serving/src/router.rs
+++ b/crates/serving/src/router.rs
@@ -1,4 +1,4 @@
-//! Finding the route and the customer of a request.
+//! Finds the route and the customer of a request.
 
 use std::collections::HashMap;
 
@@ -9,7 +9,7 @@
 use crate::Route;
 use crate::Service;
 
-/// A route's place in its [`Router`].
+/// The index of a route in its [`Router`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RouteKey(u32);
 
@@ -22,13 +22,13 @@
     pub priority: Option<u8>,
 }
 
-/// One version of the configuration, laid out for the path of a request. Made
-/// once for each version and swapped in whole.
+/// One version of the configuration, indexed for lookups by request. It is built once for each
+/// version and replaced as a whole.
 #[derive(Debug, Default)]
 pub struct Router {
-    /// The operator's number of this version.
+    /// The operator's version number.
     pub version: u64,
-    /// What callers may send.
+    /// The limits on callers' requests.
     pub limits: CallerLimits,
     routes: Vec<Route>,
     by_host: HashMap<CompactString, Vec<RouteKey>>,
@@ -38,7 +38,7 @@
 }
 
 impl Router {
-    /// Lays out `deployment`.
+    /// Indexes `deployment`.
     pub fn new(deployment: Deployment) -> Router {
         let mut by_host: HashMap<CompactString, Vec<RouteKey>> = HashMap::new();
         for (n, route) in (0..).zip(&deployment.routes) {
@@ -49,7 +49,7 @@
         }
         let routes = deployment.routes;
         for keys in by_host.values_mut() {
-            // The longest prefix first, so that the first that fits is the one.
+            // Longest prefix first, so that the first match is the longest.
             keys.sort_by_key(|k| std::cmp::Reverse(routes[k.0 as usize].prefix.len()));
         }
         let needs_credentials = !deployment.customers.is_empty();
@@ -75,29 +75,29 @@
         }
     }
 
-    /// The route of a request, by its host and the longest prefix of its path.
+    /// The route of a request, by its host and the longest matching prefix of its path.
     pub fn find(&self, host: &str, path: &str) -> Option<RouteKey> {
         let keys = self.by_host.get(host)?;
         let fits = |k: &&RouteKey| path.starts_with(self.routes[k.0 as usize].prefix.as_str());
         keys.iter().find(fits).copied()
     }
 
-    /// The route with that key.
+    /// The route with this key.
     pub fn route(&self, key: RouteKey) -> &Route {
         &self.routes[key.0 as usize]
     }
 
-    /// Who holds a credential.
+    /// The holder of a credential.
     pub fn caller(&self, credential: &str) -> Option<&Caller> {
         self.callers.get(credential)
     }
 
-    /// True if requests on `route` have to show a credential.
+    /// True if requests on `route` need a credential.
     pub fn needs_credential(&self, route: &Route) -> bool {
         self.needs_credentials && !route.public
     }
 
-    /// The service of that name.
+    /// The service with this name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.get(name)
     }
--- a/crates/serving/src/service.rs
+++ b/crates/serving/src/service.rs
@@ -11,37 +11,37 @@
 pub struct Service {
     /// Its name.
     pub name: CompactString,
-    /// Connections that one of its upstreams takes from all instances together.
+    /// Connections that each of its upstreams accepts from all instances together.
     pub max_connections: u32,
-    /// Set if its upstreams work on pieces of stages.
+    /// Set if its upstreams run pieces of stages.
     pub batch: Option<BatchSpec>,
-    /// Set if its upstreams bear less for a while after their start.
+    /// Set if its upstreams have less capacity for a while after their start.
     pub cold: Option<ColdSpec>,
     /// Set if its upstreams generate from prompts.
     pub generation: Option<GenerationSpec>,
 }
 
-/// How an upstream works on pieces of stages.
+/// How an upstream runs pieces of stages.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BatchSpec {
-    /// Calls in progress at a time.
+    /// Calls that run concurrently.
     pub slots: u32,
-    /// Calls that may wait.
+    /// Calls that may be queued.
     pub queue: u32,
     /// Pieces in one call.
     pub pieces: usize,
-    /// What a call takes however little it holds.
+    /// The fixed time of a call.
     pub base_time: Duration,
-    /// What each piece adds, about.
+    /// The approximate time that each piece adds.
     pub piece_time: Duration,
-    /// Room for results, in bytes.
+    /// Memory for results, in bytes.
     pub room_bytes: u64,
     /// How long a result is kept.
     pub result_ttl: Duration,
 }
 
 impl BatchSpec {
-    /// How long a call of `pieces` takes, about.
+    /// The approximate time of a call with this number of pieces.
     pub fn call_time(&self, pieces: usize) -> Duration {
         self.base_time + self.piece_time * u32::try_from(pieces).unwrap_or(u32::MAX)
     }
@@ -50,7 +50,7 @@
 /// How an upstream generates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct GenerationSpec {
-    /// Requests that it works on at a time.
+    /// Requests that it processes concurrently.
     pub slots: u32,
     /// Tokens that its memory holds.
     pub memory_tokens: u64,
--- a/crates/serving/src/store_mirror.rs
+++ b/crates/serving/src/store_mirror.rs
@@ -1,4 +1,4 @@
-//! What the store holds, as far as this instance has been told.
+//! Keeps a copy of the store's records.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -10,79 +10,77 @@
 use crate::StoreRevision;
 use crate::visits::Visits;
 
-/// Removals that are remembered at least. A follower that is further behind is sent
-/// everything; each takes some 60 bytes.
-const REMOVALS_KEPT: usize = 1_024;
+/// The least number of removals that are kept, some 60 bytes each. A follower that is further
+/// behind is sent all records.
+const MIN_REMOVALS_KEPT: usize = 1_024;
 
-/// A record as the store keeps it, or that it was removed.
+/// A record of the store, or its removal.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoreItem {
-    /// Where it lies.
+    /// The record's key.
     pub key: CompactString,
-    /// What it says; empty if it was removed.
+    /// The record's value; empty if it was removed.
     pub value: Bytes,
-    /// The store's revision when it was written or removed.
+    /// The store's revision when the record was written or removed.
     pub revision: StoreRevision,
-    /// True if it was removed.
+    /// True if the record was removed.
     pub removed: bool,
 }
 
-/// What an instance is sent that follows another.
+/// The update that an instance receives from the instance it follows.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoreUpdate {
-    /// True if the items are all records and not only those that changed.
+    /// True if the items are all records, not only the changed ones.
     pub is_full: bool,
-    /// In the order in which they were written.
+    /// The items in the order in which they were written.
     pub items: Vec<StoreItem>,
-    /// Nothing up to this revision is missing.
+    /// The update is complete up to this revision.
     pub revision: StoreRevision,
 }
 
-/// What the store holds, kept so that other instances can be told of it.
+/// A copy of the store's records, from which other instances are updated.
 ///
-/// Guards against a fleet in which every instance watches the store by itself:
-/// each change is then answered to every one of them, calls grow with instances
-/// times changes, and the store's rate and its price grow with them. A few watch
-/// and the others follow these.
+/// If every instance of a fleet watched the store itself, each change would be sent to all of
+/// them: calls would grow with instances times changes, and the load and cost of the store with
+/// them. Instead, a few instances watch the store and the others follow these.
 #[derive(Debug, Default)]
 pub struct StoreMirror {
     items: BTreeMap<CompactString, StoreItem>,
-    /// The keys of all items by when they were written.
-    written: BTreeSet<(StoreRevision, CompactString)>,
+    /// The keys of all items by their revisions.
+    by_revision: BTreeSet<(StoreRevision, CompactString)>,
     removed: VecDeque<StoreItem>,
-    /// Removals up to this revision may have been forgotten.
-    forgotten: StoreRevision,
+    /// Removals up to this revision may have been dropped.
+    dropped_up_to: StoreRevision,
     revision: StoreRevision,
     visits: Visits,
 }
 
 impl StoreMirror {
-    /// The revision up to which nothing is missing.
+    /// The revision up to which the copy is complete.
     pub fn revision(&self) -> StoreRevision {
         self.revision
     }
 
-    /// Takes in everything that the store held at `revision`. Older than what is
-    /// here it is passed over, and false: knowledge never goes back.
+    /// Replaces the copy by all records of the store at `revision`. Returns false and changes
+    /// nothing if that is older than the copy.
     pub fn replace(&mut self, items: Vec<StoreItem>, revision: StoreRevision) -> bool {
         if revision < self.revision {
             return false;
         }
         self.items.clear();
-        self.written.clear();
+        self.by_revision.clear();
         for item in items {
             self.insert(item);
         }
         self.removed.clear();
-        self.forgotten = revision;
+        self.dropped_up_to = revision;
         self.revision = revision;
         true
     }
 
-    /// Takes in what changed up to `revision`; returns what of it is news. Two
-    /// ways may lead to the same news, and the slower one brings it again. Changes of
-    /// another era than the one that is known here are no news: what came between is
-    /// missing.
+    /// Applies the changes up to `revision` and returns those that are new here. The same
+    /// changes may arrive twice, by a faster and a slower path. Changes of another era than the
+    /// copy's are ignored, because the changes in between are missing.
     pub fn apply(&mut self, mut items: Vec<StoreItem>, revision: StoreRevision) -> Vec<StoreItem> {
         if !revision.is_same_era(self.revision) {
             return Vec::new();
@@ -92,42 +90,44 @@
             match item.removed {
                 false => self.insert(item.clone()),
                 true => {
-                    self.forget(&item.key);
+                    self.remove(&item.key);
                     self.removed.push_back(item.clone());
                 }
             }
         }
-        // All that is here may be removed at once, and no follower is sent everything for it.
-        while self.removed.len() > REMOVALS_KEPT.max(self.items.len()) {
+        // Keeps as many removals as there are records, so that removing all records at once
+        // does not force followers to load everything.
+        while self.removed.len() > MIN_REMOVALS_KEPT.max(self.items.len()) {
             let oldest = self.removed.pop_front();
-            self.forgotten = oldest.map_or(self.forgotten, |i| i.revision);
+            self.dropped_up_to = oldest.map_or(self.dropped_up_to, |i| i.revision);
         }
         self.revision = self.revision.max(revision);
         items
     }
 
-    /// True if somebody who knows everything up to `after` has to be sent all records:
-    /// of what was removed since some may be forgotten.
+    /// True if a follower that has everything up to `after` has to be sent all records, because
+    /// removals since then may have been dropped.
     pub fn needs_full_update(&self, after: StoreRevision) -> bool {
-        after < self.forgotten
+        after < self.dropped_up_to
     }
 
-    /// How many records there are.
+    /// Number of records.
     pub fn record_count(&self) -> usize {
         self.items.len()
     }
 
-    /// How many records were written after a revision.
+    /// Number of records written after a revision.
     pub fn written_after(&self, after: StoreRevision) -> usize {
-        self.newer(after).count()
+        self.newer_than(after).count()
     }
 
-    /// What somebody lacks who knows everything up to `after`. Only that is looked at.
+    /// The changes that a follower lacks that has everything up to `after`. Only these are
+    /// visited.
     pub fn updates_since(&self, after: StoreRevision) -> StoreUpdate {
         if self.needs_full_update(after) {
             return self.all();
         }
-        let mut written: Vec<&StoreItem> = self.newer(after).collect();
+        let mut written: Vec<&StoreItem> = self.newer_than(after).collect();
         written.reverse();
         let removed = self.removed.iter().rev().inspect(|_| self.visits.add(1));
         let removed = removed.take_while(|i| i.revision > after);
@@ -142,13 +142,13 @@
         }
     }
 
-    /// Records and removals that were looked at one by one since the start.
+    /// Records and removals visited since the start.
     pub fn visited(&self) -> u64 {
         self.visits.count()
     }
 
     fn all(&self) -> StoreUpdate {
-        let items = self.written.iter().inspect(|_| self.visits.add(1));
+        let items = self.by_revision.iter().inspect(|_| self.visits.add(1));
         let items = items.filter_map(|(_, key)| self.items.get(key));
         StoreUpdate {
             is_full: true,
@@ -157,23 +157,23 @@
         }
     }
 
-    /// What was written after a revision, the latest first.
-    fn newer(&self, after: StoreRevision) -> impl Iterator<Item = &StoreItem> {
-        let written = self.written.iter().rev();
+    /// The records written after a revision, the latest first.
+    fn newer_than(&self, after: StoreRevision) -> impl Iterator<Item = &StoreItem> {
+        let written = self.by_revision.iter().rev();
         let written = written.inspect(|_| self.visits.add(1));
         let written = written.take_while(move |(at, _)| *at > after);
         written.filter_map(|(_, key)| self.items.get(key))
     }
 
     fn insert(&mut self, item: StoreItem) {
-        self.forget(&item.key);
-        self.written.insert((item.revision, item.key.clone()));
+        self.remove(&item.key);
+        self.by_revision.insert((item.revision, item.key.clone()));
         self.items.insert(item.key.clone(), item);
     }
 
-    fn forget(&mut self, key: &str) {
+    fn remove(&mut self, key: &str) {
         if let Some(before) = self.items.remove(key) {
-            self.written.remove(&(before.revision, before.key));
+            self.by_revision.remove(&(before.revision, before.key));
         }
     }
 }
--- a/crates/serving/src/update_source.rs
+++ b/crates/serving/src/update_source.rs
@@ -1,4 +1,4 @@
-//! From whom an instance hears what the store holds.
+//! Selects the source from which an instance receives store updates.
 
 use jd_types::Incarnation;
 
@@ -6,33 +6,33 @@
 use crate::Shard;
 use crate::owners;
 
-/// Up to this many instances each watches the store by itself and exchanges
-/// heartbeats with all others. Of 75, each would make and answer 370 heartbeats
-/// a second, more than the requests it has.
+/// The fleet size up to which every instance watches the store itself and exchanges heartbeats
+/// with all others. In a fleet of 75 each instance would send and answer 370 heartbeats a
+/// second, more than the requests it serves.
 pub const SMALL_FLEET: usize = 16;
-/// Instances that watch the store for the whole fleet: one may be gone or turned
-/// away by the store.
+/// Instances that watch the store for the whole fleet: two, as one may be gone or rejected by
+/// the store.
 const READERS: usize = 2;
-/// Instances of a zone that hear these and tell the others of the zone.
+/// Instances of each zone that follow the readers and pass updates on within the zone.
 const RELAYS: usize = 2;
-/// Instances that may stand in for readers or relays, one after the other. Where the
-/// store turns a third of all away, one in a hundred times all of these are among
-/// them; more would only ask a store that is away.
+/// Instances that may replace readers or relays, in order. Where the store rejects a third of
+/// all instances, all of the candidates are among these in one case of a hundred; more
+/// candidates would only add calls to a store that is unavailable.
 const CANDIDATES: usize = 4;
 
-/// From whom an instance hears what the store holds.
+/// The source from which an instance receives store updates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UpdateSource {
-    /// From the store itself.
+    /// The store itself.
     Store,
-    /// From this one that reads the store, to tell it to the instances of a zone.
+    /// A reader: an instance that watches the store and serves the relays of all zones.
     Reader(Incarnation),
-    /// From this one that relays in its zone.
+    /// A relay of the instance's own zone.
     Relay(Incarnation),
 }
 
 impl UpdateSource {
-    /// The instance that it is; none if it is the store itself.
+    /// The source instance, or `None` for the store itself.
     pub fn instance(self) -> Option<Incarnation> {
         match self {
             UpdateSource::Store => None,
@@ -41,30 +41,30 @@
     }
 }
 
-/// What an instance was lately like as a source of news.
+/// The recent health of an instance as an update source.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SourceHealth {
-    /// Nothing is known against it.
+    /// No failure is known.
     Available,
-    /// It says that the store does not answer.
+    /// It reports that the store does not answer.
     StoreUnavailable,
-    /// It did not answer, or brought nothing.
+    /// It did not answer, or sent no updates.
     Unresponsive,
 }
 
-/// From whom `me` hears, of the `others` that are there; `state` tells what each is
-/// like as a source, `me` included.
+/// Selects the update source of `me` among the `others` that are present; `health` gives the
+/// health of each instance as a source, including `me`.
 ///
-/// The load that it answers: every change in the store answers every watch, so that
-/// calls grow with instances times changes, and an instance that the store turns away
-/// asks again and again. So two read the store for the whole fleet, whatever its size,
-/// two of each zone hear these, and the others hear those of their zone. One that is
-/// silent or has lost the store is passed over for the next of the same order. While
-/// all say that the store is away the others take their word and do not ask it too.
+/// Each change in the store answers every watch, so that calls grow with instances times
+/// changes, and an instance that the store rejects retries again and again. For this reason two
+/// readers watch the store for a fleet of any size, two relays of each zone follow the readers,
+/// and all other instances follow the relays of their zone. A source that does not answer or
+/// has lost the store is replaced by the next candidate of the same order. While all candidates
+/// report that the store is unavailable, the other instances do not query the store either.
 pub fn update_source<'a>(
     me: &'a InstanceEntry,
     others: impl Iterator<Item = &'a InstanceEntry>,
-    state: impl Fn(Incarnation) -> SourceHealth,
+    health: impl Fn(Incarnation) -> SourceHealth,
 ) -> UpdateSource {
     let others: Vec<&InstanceEntry> = others.collect();
     if others.len() < SMALL_FLEET {
@@ -72,61 +72,61 @@
     }
     let all = || others.iter().copied().chain([me]);
     let relays = candidates(all().filter(|e| e.zone == me.zone));
-    match place(me.incarnation, &relays, RELAYS, &state) {
-        Place::Follows(id) => return UpdateSource::Relay(id),
-        Place::LeftAlone => return UpdateSource::Store,
-        Place::OneOfThem => {}
+    match role(me.incarnation, &relays, RELAYS, &health) {
+        Role::Follows(id) => return UpdateSource::Relay(id),
+        Role::Unserved => return UpdateSource::Store,
+        Role::Serving => {}
     }
     let readers = candidates(all());
-    match place(me.incarnation, &readers, READERS, &state) {
-        Place::Follows(id) if state(id) == SourceHealth::Available => UpdateSource::Reader(id),
-        // A relay does not take the readers' word that the store is away: it may be
-        // that the store turns just these away, and its zone goes by what it says.
-        Place::Follows(_) | Place::OneOfThem | Place::LeftAlone => UpdateSource::Store,
+    match role(me.incarnation, &readers, READERS, &health) {
+        Role::Follows(id) if health(id) == SourceHealth::Available => UpdateSource::Reader(id),
+        // A relay does not rely on readers that report the store as unavailable: the store may
+        // reject only these readers, and the relay's whole zone depends on its answer.
+        Role::Follows(_) | Role::Serving | Role::Unserved => UpdateSource::Store,
     }
 }
 
-/// The instances that may read or relay, in the order in which they do.
+/// The instances that may be readers or relays, in order of preference.
 fn candidates<'a>(instances: impl Iterator<Item = &'a InstanceEntry>) -> Vec<Incarnation> {
-    let everywhere = Shard {
+    let whole_fleet = Shard {
         zone: None,
         part: 0,
         parts: 1,
     };
-    let order = owners(&everywhere, instances, CANDIDATES).into_iter();
+    let order = owners(&whole_fleet, instances, CANDIDATES).into_iter();
     order.map(|e| e.incarnation).collect()
 }
 
-/// Where an instance stands among candidates.
+/// The role of an instance with respect to a list of candidates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Place {
-    OneOfThem,
+enum Role {
+    Serving,
     Follows(Incarnation),
-    /// None of the candidates answers.
-    LeftAlone,
+    /// No candidate answers.
+    Unserved,
 }
 
-/// Where `me` stands while the first `count` able candidates serve the others.
-fn place(
+/// The role of `me` while the first `count` available candidates serve the other instances.
+fn role(
     me: Incarnation,
     candidates: &[Incarnation],
     count: usize,
-    state: &impl Fn(Incarnation) -> SourceHealth,
-) -> Place {
-    let in_state = |wanted| {
+    health: &impl Fn(Incarnation) -> SourceHealth,
+) -> Role {
+    let with_health = |wanted| {
         let mut found = candidates.iter().copied();
-        std::iter::from_fn(move || found.find(|id| state(*id) == wanted))
+        std::iter::from_fn(move || found.find(|id| health(*id) == wanted))
     };
-    let able: Vec<Incarnation> = in_state(SourceHealth::Available).take(count).collect();
-    let mine = me.get() as usize % able.len().max(1);
-    match able.get(mine) {
-        _ if able.contains(&me) => Place::OneOfThem,
-        Some(id) => Place::Follows(*id),
-        // Somebody has to notice the store's return.
-        None if candidates.contains(&me) => Place::OneOfThem,
-        None => match in_state(SourceHealth::StoreUnavailable).next() {
-            Some(id) => Place::Follows(id),
-            None => Place::LeftAlone,
+    let available: Vec<Incarnation> = with_health(SourceHealth::Available).take(count).collect();
+    let index = me.get() as usize % available.len().max(1);
+    match available.get(index) {
+        _ if available.contains(&me) => Role::Serving,
+        Some(id) => Role::Follows(*id),
+        // The candidates keep querying the store, so that its recovery is noticed.
+        None if candidates.contains(&me) => Role::Serving,
+        None => match with_health(SourceHealth::StoreUnavailable).next() {
+            Some(id) => Role::Follows(id),
+            None => Role::Unserved,
         },
     }
 }
--- a/crates/serving/src/upstream_directory.rs
+++ b/crates/serving/src/upstream_directory.rs
@@ -1,4 +1,4 @@
-//! Which upstreams there are.
+//! Tracks the upstreams that requests may be sent to.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -15,108 +15,107 @@
 use crate::departures::Departures;
 use crate::visits::Visits;
 
-/// How long after the store's return an entry that lapsed may still come back.
-/// The users' platform puts entries of live upstreams back within two seconds.
+/// Time after the store becomes available again in which an expired entry may still return. The
+/// platform rewrites entries of live upstreams within two seconds.
 const LAPSE_GRACE: Duration = Duration::from_secs(2);
 
-/// What an upstream says of itself.
+/// The description that an upstream publishes of itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UpstreamEntry {
     /// Its identity.
     pub id: CompactString,
-    /// Which start of it this is.
+    /// The start that the entry belongs to.
     pub start: UpstreamStart,
     /// The service that it belongs to.
     pub service: CompactString,
-    /// Where it answers.
+    /// The address that it answers at.
     pub address: SocketAddr,
-    /// The availability zone that it stands in.
+    /// Its availability zone.
     pub zone: Name,
-    /// Requests that it works on at a time.
+    /// Requests that it processes concurrently.
     pub slots: u32,
     /// True once it is about to stop.
     pub leaving: bool,
-    /// How much longer it is cold, from when the entry was written.
+    /// Time until it is no longer cold, counted from when the entry was written.
     pub cold_left: Duration,
 }
 
 /// An upstream in use.
 #[derive(Debug, Clone, Copy)]
 pub struct ListedUpstream<'a> {
-    /// What it says of itself.
+    /// Its entry.
     pub entry: &'a UpstreamEntry,
-    /// Until when it is cold by its own word. Its entry is older than its reading, so
-    /// that it is warm by then at the latest.
+    /// The end of its cold period according to its entry, counted from when the entry was read.
+    /// The entry is older than that, so that the upstream is warm by then at the latest.
     pub cold_until: MonoTime,
 }
 
-/// Which upstreams there are, as the store tells and tolerating its absence.
+/// The upstreams that the store lists, tolerating outages of the store.
 ///
-/// Guards against losing a whole service with the store: leases of entries run
-/// out while nobody can renew them, so after an absence every entry may be
-/// missing although every upstream is well. An entry that lapsed then stays in
-/// use until shortly after the store's return.
+/// Guards against losing all upstreams of a service together with the store: leases cannot be
+/// renewed during an outage, so that afterwards every entry may be missing although every
+/// upstream is healthy. An entry that expired in this way stays in use until shortly after the
+/// store is available again.
 ///
-/// An upstream that said in an answer that it leaves does so, whatever is read of it
-/// later.
+/// An upstream that reported in an answer that it is leaving stays marked as leaving, whatever
+/// is read from the store afterwards.
 #[derive(Debug, Default)]
 pub struct UpstreamDirectory {
-    known: HashMap<CompactString, Known>,
-    /// How many of these tell their start.
-    told: usize,
-    /// How many of these have lapsed with the store.
+    known: HashMap<CompactString, KnownUpstream>,
+    /// Number of known upstreams whose start is known.
+    with_start: usize,
+    /// Number of known upstreams whose entries expired with the store.
     lapsed: usize,
     departures: Departures,
-    away: bool,
-    back: Option<MonoTime>,
+    store_unavailable: bool,
+    store_back_at: Option<MonoTime>,
     visits: Visits,
 }
 
 #[derive(Debug)]
-struct Known {
+struct KnownUpstream {
     entry: UpstreamEntry,
     lapsed: bool,
     cold_until: MonoTime,
 }
 
 impl UpstreamDirectory {
-    /// The store does not answer.
+    /// Records that the store does not answer.
     pub fn mark_store_unavailable(&mut self) {
-        self.away = true;
+        self.store_unavailable = true;
     }
 
     /// True while the store does not answer.
     pub fn is_store_unavailable(&self) -> bool {
-        self.away
+        self.store_unavailable
     }
 
-    /// The store answers; true if it did not before.
+    /// Records that the store answers; returns true if it did not before.
     pub fn mark_store_available(&mut self, now: MonoTime) -> bool {
-        let news = std::mem::take(&mut self.away);
-        if news {
-            self.back = Some(now);
+        let was_unavailable = std::mem::take(&mut self.store_unavailable);
+        if was_unavailable {
+            self.store_back_at = Some(now);
         }
-        news
+        was_unavailable
     }
 
-    /// An entry was written; true if it changes anything. One of an earlier start
-    /// than the one that is known is news that comes late, and changes nothing; one
-    /// that does not tell its start, where upstreams do, is another writer's and names
-    /// no upstream.
+    /// Applies a written entry; returns true if anything changed. An entry of an earlier start
+    /// than the known one arrives late and is ignored. Where most entries name a start, an
+    /// entry without one comes from another writer and removes the upstream of that name.
     pub fn put(&mut self, now: MonoTime, entry: UpstreamEntry) -> bool {
-        let most_tell = self.told > self.known.len() - self.told;
-        self.take(now, entry, most_tell, Reading::Complete)
+        let most_have_start = self.with_start > self.known.len() - self.with_start;
+        self.apply(now, entry, most_have_start, Reading::Complete)
     }
 
-    fn take(
+    fn apply(
         &mut self,
         now: MonoTime,
         entry: UpstreamEntry,
-        most_tell: bool,
+        most_have_start: bool,
         reading: Reading,
     ) -> bool {
         self.visits.add(1);
-        if most_tell && !entry.start.is_known() {
+        if most_have_start && !entry.start.is_known() {
             return self.discard(&entry.id);
         }
         let known = self.known.get(&entry.id);
@@ -127,16 +126,16 @@
         match reading {
             _ if entry.leaving => self
                 .departures
-                .note(now, &id, start, DepartureSource::Entry),
-            Reading::Complete => self.departures.entry_says_ready(&id),
+                .record(now, &id, start, DepartureSource::Entry),
+            Reading::Complete => self.departures.revoke_by_entry(&id),
             Reading::Restored => {}
         }
-        let leaving = entry.leaving || self.departures.has_left(&id, start);
+        let leaving = entry.leaving || self.departures.is_leaving(&id, start);
         let entry = UpstreamEntry { leaving, ..entry };
         if known.is_some_and(|k| k.entry == entry && !k.lapsed) {
             return false;
         }
-        let known = Known {
+        let known = KnownUpstream {
             cold_until: now + entry.cold_left,
             lapsed: false,
             entry,
@@ -145,24 +144,26 @@
         true
     }
 
-    /// This start of an upstream said in an answer that it leaves; true if that changes
-    /// anything. One that has started again since takes requests.
+    /// Records that this start of an upstream reported in an answer that it is leaving; returns
+    /// true if anything changed. An upstream that has restarted since still receives requests.
     pub fn mark_leaving(&mut self, now: MonoTime, id: &str, start: UpstreamStart) -> bool {
         let known = self.known.get_mut(id);
-        let is_old = |k: &&mut Known| k.entry.start.is_later_than(start);
+        let is_old = |k: &&mut KnownUpstream| k.entry.start.is_later_than(start);
         if known.as_ref().is_some_and(is_old) {
             return false;
         }
         self.departures
-            .note(now, id, start, DepartureSource::Answer);
+            .record(now, id, start, DepartureSource::Answer);
         known.is_some_and(|k| !std::mem::replace(&mut k.entry.leaving, true))
     }
 
-    /// Another upstream answered at the address of this start of one; true if that changes
-    /// anything. It gets nothing more until its entry is written again.
+    /// Records that another upstream answered at the address of this start of an upstream;
+    /// returns true if anything changed. The upstream receives no more requests until its entry
+    /// is written again.
     ///
-    /// Guards against entries that outlast their upstreams, as in a copy of the store: all
-    /// that is sent there comes back, and a caller whose tries are used up is refused.
+    /// Guards against entries that outlive their upstreams, as in a restored store: every
+    /// request sent to the address is returned, and a caller whose attempts are used up is
+    /// refused.
     pub fn mark_address_reused(
         &mut self,
         now: MonoTime,
@@ -171,24 +172,26 @@
         address: SocketAddr,
     ) -> bool {
         let known = self.known.get_mut(id);
-        let same =
-            |k: &&mut Known| k.entry.address == address && !k.entry.start.is_later_than(start);
+        let same = |k: &&mut KnownUpstream| {
+            k.entry.address == address && !k.entry.start.is_later_than(start)
+        };
         let Some(known) = known.filter(same) else {
             return false;
         };
-        self.departures.note(now, id, start, DepartureSource::Entry);
+        self.departures
+            .record(now, id, start, DepartureSource::Entry);
         !std::mem::replace(&mut known.entry.leaving, true)
     }
 
-    /// Nothing names this upstream any more; true if that changes anything. Unlike
-    /// one that is missing it does not count as lapsed with the store: there is an
-    /// entry, and it is not the upstream's.
+    /// Removes an upstream that no valid entry names; returns true if anything changed. Unlike
+    /// a missing upstream it does not count as expired with the store, because there is an
+    /// entry and it is not the upstream's own.
     pub fn discard(&mut self, id: &str) -> bool {
         self.forget(id)
     }
 
-    /// An entry is missing; true if that changes anything. One that had said
-    /// that it leaves is gone at once.
+    /// Records that an entry is missing; returns true if anything changed. An upstream that
+    /// reported that it is leaving is removed at once.
     pub fn remove(&mut self, now: MonoTime, id: &str) -> bool {
         let may_return = self.may_return(now);
         match self.known.get_mut(id) {
@@ -200,14 +203,15 @@
             }
             Some(known) => {
                 let start = known.entry.start;
-                self.departures.note(now, id, start, DepartureSource::Entry);
+                self.departures
+                    .record(now, id, start, DepartureSource::Entry);
                 self.forget(id)
             }
         }
     }
 
-    /// Takes in the whole list; true if that changes anything. In a copy an entry may be
-    /// older than what is known, so that it takes back no word of an upstream.
+    /// Applies a complete list; returns true if anything changed. In a restored store an entry
+    /// may be older than what is known, so that it does not revoke a reported departure.
     pub fn replace(
         &mut self,
         now: MonoTime,
@@ -215,7 +219,7 @@
         reading: Reading,
     ) -> bool {
         if reading == Reading::Restored {
-            self.back = Some(now);
+            self.store_back_at = Some(now);
         }
         let listed: HashSet<&str> = entries.iter().map(|e| e.id.as_str()).collect();
         let missing = self.known.keys().inspect(|_| self.visits.add(1));
@@ -225,14 +229,15 @@
         for id in missing {
             changed |= self.remove(now, &id);
         }
-        let most_tell = most_tell_start(entries.iter());
+        let most_have_start = most_have_known_start(entries.iter());
         for entry in entries {
-            changed |= self.take(now, entry, most_tell, reading);
+            changed |= self.apply(now, entry, most_have_start, reading);
         }
         changed
     }
 
-    /// Gives up entries that lapsed and did not come back; true if any did.
+    /// Removes upstreams whose entries expired and did not return; returns true if there were
+    /// any.
     pub fn expire(&mut self, now: MonoTime) -> bool {
         let known = &self.known;
         let is_listed = |id: &str| known.contains_key(id);
@@ -258,14 +263,14 @@
         })
     }
 
-    /// Entries that were looked at one by one since the start. What changes is looked
-    /// at, and the whole list only when it is read whole.
+    /// Entries visited since the start. A change visits the changed entries; the whole list is
+    /// visited only when it is read whole.
     pub fn visited(&self) -> u64 {
         self.visits.count()
     }
 
-    fn insert(&mut self, id: CompactString, known: Known) {
-        self.told += usize::from(known.entry.start.is_known());
+    fn insert(&mut self, id: CompactString, known: KnownUpstream) {
+        self.with_start += usize::from(known.entry.start.is_known());
         if let Some(before) = self.known.insert(id, known) {
             self.uncount(&before);
         }
@@ -279,19 +284,22 @@
         true
     }
 
-    fn uncount(&mut self, known: &Known) {
-        self.told -= usize::from(known.entry.start.is_known());
+    fn uncount(&mut self, known: &KnownUpstream) {
+        self.with_start -= usize::from(known.entry.start.is_known());
         self.lapsed -= usize::from(known.lapsed);
     }
 
     fn may_return(&self, now: MonoTime) -> bool {
-        self.away || self.back.is_some_and(|back| now.since(back) < LAPSE_GRACE)
+        self.store_unavailable
+            || self
+                .store_back_at
+                .is_some_and(|at| now.since(at) < LAPSE_GRACE)
     }
 }
 
-/// True if more of the entries tell their start than do not. One alone that tells it
-/// may be another writer's, and must not cost the others their place.
-fn most_tell_start<'a>(entries: impl Iterator<Item = &'a UpstreamEntry>) -> bool {
-    let (told, untold): (Vec<_>, Vec<_>) = entries.partition(|e| e.start.is_known());
-    told.len() > untold.len()
+/// True if most entries name their start. A single entry that names one may come from another
+/// writer and must not remove the others.
+fn most_have_known_start<'a>(entries: impl Iterator<Item = &'a UpstreamEntry>) -> bool {
+    let (with_start, without_start): (Vec<_>, Vec<_>) = entries.partition(|e| e.start.is_known());
+    with_start.len() > without_start.len()
 }
--- a/crates/serving/src/upstream_limits.rs
+++ b/crates/serving/src/upstream_limits.rs
@@ -1,4 +1,4 @@
-//! Which upstreams have named a limit of what they take.
+//! Tracks the rate limits that upstreams announce in their answers.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -9,35 +9,34 @@
 use crate::RequestRate;
 use crate::UpstreamStart;
 
-/// How far apart two answers may have been heard and still have crossed on their way.
-const MAY_HAVE_CROSSED: Duration = Duration::from_millis(500);
-/// How much later the same limit has to be heard again to count as heard again: more
-/// than a message between instances takes.
-const HEARD_AGAIN: Duration = Duration::from_millis(100);
-/// How long others are told that an upstream names no limit any more. Longer than one
-/// that was away for a moment takes to hear from others again.
-const END_TOLD_FOR: Duration = Duration::from_secs(30);
-/// How long the limit of an upstream that is not listed is remembered: entries lapse
-/// with the store and come back with it.
-const GONE_FOR: Duration = Duration::from_secs(60);
-/// The most upstreams that are remembered.
-const MOST: usize = 2_048;
+/// The time within which two answers may have been received out of order.
+const REORDER_WINDOW: Duration = Duration::from_millis(500);
+/// The least time between two receipts of the same limit that counts as a renewal: more than a
+/// message between instances takes.
+const MIN_RENEWAL_GAP: Duration = Duration::from_millis(100);
+/// Time for which other instances are is_announced that a limit has ended. It is longer than an
+/// instance that was briefly cut off takes to receive heartbeats again.
+const END_ANNOUNCED_FOR: Duration = Duration::from_secs(30);
+/// Time for which the limit of an unlisted upstream is kept: entries expire with the store and
+/// return with it.
+const UNLISTED_RETENTION: Duration = Duration::from_secs(60);
+/// Upstreams whose limits are kept.
+const MAX_UPSTREAMS: usize = 2_048;
 
-/// What an upstream said, in one answer, of the requests that it takes from all
-/// instances together.
+/// The rate limit that an upstream announces in one answer, as the total for all instances.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitNotice {
-    /// Which start of it said so.
+    /// The start of the upstream that announced it.
     pub start: UpstreamStart,
-    /// Its limit; none if it names none.
+    /// The limit, if there is one.
     pub limit: Option<RequestRate>,
-    /// When the answer was heard, at whichever instance.
+    /// When an instance received the answer.
     pub received_at: MonoTime,
 }
 
 impl LimitNotice {
-    /// True if this counts and not `known`. Of two answers that may have crossed the
-    /// one with the lower limit does.
+    /// True if this notice replaces `known`. Of two answers that may have been received out of
+    /// order, the one with the lower limit counts.
     fn replaces(&self, known: &LimitNotice) -> bool {
         let stricter = match (self.limit, known.limit) {
             (Some(own), Some(known)) => own < known,
@@ -46,36 +45,37 @@
         match self.received_at {
             _ if self.start.is_later_than(known.start) => true,
             _ if known.start.is_later_than(self.start) => false,
-            heard if heard >= known.received_at + MAY_HAVE_CROSSED => true,
-            heard if known.received_at >= heard + MAY_HAVE_CROSSED => false,
+            received_at if received_at >= known.received_at + REORDER_WINDOW => true,
+            received_at if known.received_at >= received_at + REORDER_WINDOW => false,
             _ if stricter => true,
-            heard => self.limit == known.limit && heard >= known.received_at + HEARD_AGAIN,
+            received_at => {
+                self.limit == known.limit && received_at >= known.received_at + MIN_RENEWAL_GAP
+            }
         }
     }
 }
 
-/// A limit that an upstream names from now on, or no more.
+/// A change of an upstream's limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitChange {
-    /// What it named before.
+    /// The limit before the change.
     pub before: Option<RequestRate>,
-    /// What it names now.
+    /// The limit after the change.
     pub now: Option<RequestRate>,
 }
 
-/// The limits that upstreams have named, as far as this instance has heard, from them
-/// or from other instances.
+/// The limits of upstreams, as received from them or from other instances.
 #[derive(Debug, Clone, Default)]
 pub struct UpstreamLimits {
     known: HashMap<CompactString, LimitNotice>,
 }
 
 impl UpstreamLimits {
-    /// Takes in what an upstream said; the change, if that is one.
+    /// Records a notice; returns the change of the limit, if there is one.
     pub fn record(&mut self, id: &str, said: LimitNotice) -> Option<LimitChange> {
         let known = self.known.get(id);
         let counts = known.map_or(said.limit.is_some(), |known| said.replaces(known));
-        if !counts || (known.is_none() && self.known.len() >= MOST) {
+        if !counts || (known.is_none() && self.known.len() >= MAX_UPSTREAMS) {
             return None;
         }
         let earlier = known.filter(|k| !said.start.is_later_than(k.start));
@@ -88,40 +88,41 @@
         (change.before != change.now).then_some(change)
     }
 
-    /// What an upstream last said that counts; none if it never named a limit.
+    /// The notice in force, if the upstream ever announced a limit.
     pub fn notice(&self, id: &str) -> Option<LimitNotice> {
         self.known.get(id).copied()
     }
 
-    /// The limit that an upstream names.
+    /// The limit in force.
     pub fn limit(&self, id: &str) -> Option<RequestRate> {
         self.notice(id)?.limit
     }
 
-    /// True if no upstream ever named a limit.
+    /// True if no limit was ever announced.
     pub fn is_empty(&self) -> bool {
         self.known.is_empty()
     }
 
-    /// How many upstreams name a limit.
+    /// Number of upstreams with a limit.
     pub fn count(&self) -> usize {
         self.known.values().filter(|n| n.limit.is_some()).count()
     }
 
-    /// Forgets the upstreams that have started again, and those that are gone for long;
-    /// `start_of` tells the start of one that is there.
+    /// Forgets upstreams that have restarted since, and those that have been unlisted for a
+    /// long time; `start_of` gives the start of a listed upstream.
     pub fn remove_gone(&mut self, now: MonoTime, start_of: impl Fn(&str) -> Option<UpstreamStart>) {
         self.known.retain(|id, notice| match start_of(id) {
             Some(start) => !start.is_later_than(notice.start),
-            None => now.since(notice.received_at) < GONE_FOR,
+            None => now.since(notice.received_at) < UNLISTED_RETENTION,
         });
     }
 
-    /// What others are told: the limits, and which have ended lately.
+    /// The notices to send to other instances: current limits, and limits that ended recently.
     pub fn announced(&self, now: MonoTime) -> impl Iterator<Item = (&str, LimitNotice)> {
-        let told =
-            move |n: &LimitNotice| n.limit.is_some() || now.since(n.received_at) < END_TOLD_FOR;
+        let is_announced = move |n: &LimitNotice| {
+            n.limit.is_some() || now.since(n.received_at) < END_ANNOUNCED_FOR
+        };
         let known = self.known.iter().map(|(id, notice)| (id.as_str(), *notice));
-        known.filter(move |(_, notice)| told(notice))
+        known.filter(move |(_, notice)| is_announced(notice))
     }
 }
--- a/crates/serving/src/upstream_start.rs
+++ b/crates/serving/src/upstream_start.rs
@@ -1,38 +1,38 @@
-//! Which start of an upstream somebody speaks of.
+//! Identifies one start of an upstream.
 
-/// Which start of an upstream somebody speaks of: the moment at which it began, in
-/// milliseconds since 1970 by the upstream's own clock; none where it does not tell.
+/// One start of an upstream: its time in milliseconds since 1970 by the upstream's clock, or
+/// unknown if the upstream does not report it.
 ///
-/// An upstream may start again under the identity that it had. It then holds and
-/// knows nothing of before, so that identity and start together name it.
+/// An upstream may restart under the same identity. It has then lost all earlier state, so that
+/// only identity and start together identify it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 pub struct UpstreamStart(Option<u64>);
 
 impl UpstreamStart {
-    /// A start that nothing was told of.
+    /// A start that was not reported.
     pub const UNKNOWN: UpstreamStart = UpstreamStart(None);
 
-    /// The start at that many milliseconds since 1970.
+    /// The start at this number of milliseconds since 1970.
     pub fn at_millis(ms: u64) -> UpstreamStart {
         UpstreamStart(Some(ms))
     }
 
-    /// Milliseconds since 1970; none where it was not told.
+    /// Milliseconds since 1970, if known.
     pub fn millis(self) -> Option<u64> {
         self.0
     }
 
-    /// True if the upstream told it.
+    /// True if the upstream reported its start.
     pub fn is_known(self) -> bool {
         self.0.is_some()
     }
 
-    /// True if this is known to be a later start than the other.
+    /// True if this is known to be a later start than `other`.
     pub fn is_later_than(self, other: UpstreamStart) -> bool {
         matches!((self.0, other.0), (Some(own), Some(other)) if own > other)
     }
 
-    /// The later of two; one that was told if the other was not.
+    /// The later of two starts; a known one if the other is unknown.
     pub fn later(self, other: UpstreamStart) -> UpstreamStart {
         UpstreamStart(self.0.max(other.0))
     }
