--- a/crates/serving/tests/cold_start.rs
+++ b/crates/serving/tests/cold_start.rs
@@ -1,4 +1,4 @@
-//! Upstreams that have just started, and all that wants to go there.
+//! The load on an upstream that has just started.
 
 #![allow(clippy::expect_used, clippy::panic)]
 
@@ -15,23 +15,23 @@
     duration: Duration::from_secs(3),
     per_s: 8.9,
 };
-/// Requests in one second that end a cold upstream of these.
+/// Requests within one second that crash a cold upstream.
 const TOO_MANY: usize = 18;
-/// The most by which one request is longer on its way than another.
+/// The largest difference in delivery time between two requests.
 const JITTER_MS: u64 = 60;
 
 fn at(ms: u64) -> MonoTime {
     MonoTime::from_millis(ms)
 }
 
-fn place(rank: u32, of: u32) -> FleetPosition {
+fn position(rank: u32, of: u32) -> FleetPosition {
     FleetPosition {
         rank,
         fleet_size: of,
     }
 }
 
-/// The most arrivals in any span of a second.
+/// The largest number of arrivals within one second.
 fn most_in_a_second(mut arrivals: Vec<u64>) -> usize {
     arrivals.sort_unstable();
     let within = |from: u64| {
@@ -43,8 +43,8 @@
     counts.max().unwrap_or(0)
 }
 
-/// Sends for five seconds `per_s` requests of one popular session to an upstream that is
-/// cold for three of them; when those arrive that are sent there while it is.
+/// Sends `per_s` requests a second of one busy session to an upstream that is cold for three
+/// seconds, and returns the arrival times of the requests that instances sent during that time.
 fn arrivals_while_cold(instances: u32, per_s: u64, restart_at: Option<u64>) -> Vec<u64> {
     let fresh = || {
         let mut cold = ColdStart::default();
@@ -60,7 +60,7 @@
         }
         let rank = u32::try_from(spread(n) % u64::from(instances)).expect("small");
         let own = &mut fleet[rank as usize];
-        if own.may_send(at(now), SPEC, place(rank, instances)) {
+        if own.may_send(at(now), SPEC, position(rank, instances)) {
             own.record_sent(at(now), SPEC);
             arrivals.push(now + spread(n ^ 77) % JITTER_MS);
         }
@@ -68,51 +68,53 @@
     arrivals
 }
 
-/// A popular session's upstream starts again. Every instance went on sending to it what
-/// it always had, little each and together eight times what it bears, and it ended again.
+/// The upstream of a busy session restarts. When every instance continued to send at its former
+/// rate, a little each and together eight times the upstream's capacity, the upstream crashed
+/// again.
 #[test_case(85, 75; "a large fleet")]
 #[test_case(295, 160; "hundreds of instances")]
 #[test_case(9, 60; "nine instances")]
 #[test_case(2, 40; "two instances")]
-fn a_cold_upstream_gets_no_more_than_it_bears(instances: u32, per_s: u64) {
+fn a_cold_upstream_receives_at_most_its_capacity(instances: u32, per_s: u64) {
     let arrivals = arrivals_while_cold(instances, per_s, None);
     let most = most_in_a_second(arrivals.clone());
     assert!(most <= TOO_MANY, "{most}");
-    // It does get its part: nobody waits for it to become warm.
+    // The upstream also receives its share, without waiting until it is warm.
     assert!(arrivals.len() >= 3, "{}", arrivals.len());
 }
 
-/// All instances lose power meanwhile and remember nothing of what they sent.
+/// All instances restart after a power loss during the cold period and have forgotten the
+/// requests that they sent.
 #[test]
-fn what_was_sent_before_all_started_anew_is_borne_as_well() {
+fn a_restart_of_the_fleet_does_not_overload_a_cold_upstream() {
     let most = most_in_a_second(arrivals_while_cold(85, 75, Some(2_500)));
     assert!(most <= TOO_MANY, "{most}");
 }
 
 #[test]
-fn the_parts_of_all_instances_are_what_an_upstream_bears() {
+fn the_shares_of_all_instances_add_up_to_the_capacity() {
     for of in 1..400 {
-        let parts = (0..of).map(|rank| SPEC.share(place(rank, of)));
-        assert_eq!(parts.sum::<usize>(), 8, "{of} instances");
+        let shares = (0..of).map(|rank| SPEC.share(position(rank, of)));
+        assert_eq!(shares.sum::<usize>(), 8, "{of} instances");
     }
 }
 
-/// Connections to an upstream could not be opened. It comes back before anybody has
-/// read its entry, and counts as cold from when it is looked for again.
+/// Connections to an upstream could not be opened. It returns before its entry is read, and
+/// counts as cold from the first attempt to reach it again.
 #[test]
-fn an_upstream_that_was_away_counts_as_cold_when_it_is_back() {
+fn an_upstream_that_was_unavailable_counts_as_cold() {
     let mut cold = ColdStart::default();
     assert!(!cold.is_cold(at(1_000), SPEC));
     cold.record_possible_start(at(5_000));
     assert!(cold.is_cold(at(7_900), SPEC));
-    assert!(!cold.may_send(at(7_900), SPEC, place(80, 85)));
+    assert!(!cold.may_send(at(7_900), SPEC, position(80, 85)));
     assert!(!cold.is_cold(at(8_000), SPEC));
-    assert!(cold.may_send(at(8_000), SPEC, place(80, 85)));
+    assert!(cold.may_send(at(8_000), SPEC, position(80, 85)));
 }
 
-/// News of an earlier end of coldness, which comes late, does not make it warm.
+/// A late update with an earlier end of the cold period does not shorten the period.
 #[test]
-fn later_word_does_not_shorten_what_was_told() {
+fn a_late_update_does_not_shorten_the_cold_period() {
     let mut cold = ColdStart::default();
     cold.set_cold_until(at(9_000));
     cold.set_cold_until(at(0));
--- a/crates/serving/tests/crash_evidence.rs
+++ b/crates/serving/tests/crash_evidence.rs
@@ -1,4 +1,4 @@
-//! Which requests are taken to end upstreams, and which are not.
+//! Which requests are found to crash upstreams.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 use jd_serving::UpstreamStart;
 use jd_types::MonoTime;
 
-/// A request that ends upstreams, and others.
+/// A request that crashes upstreams, and other requests.
 const BAD: u64 = 1;
 const OTHER: u64 = 2;
 const THIRD: u64 = 3;
@@ -20,8 +20,8 @@
     MonoTime::ZERO + Duration::from_millis(ms)
 }
 
-/// An upstream of that name ended, with runs that began at these times.
-fn end(upstream: u64, ms: u64, runs: &[(u64, u64)]) -> UpstreamCrash {
+/// The crash of the upstream with this name, with runs that began at these times.
+fn crash(upstream: u64, ms: u64, runs: &[(u64, u64)]) -> UpstreamCrash {
     let runs = runs.iter().map(|(content, began)| BrokenRun {
         content: Content::from_number(*content),
         began: at(*began),
@@ -35,7 +35,7 @@
     }
 }
 
-fn good(service: &str, content: u64, ms: u64) -> CompletedRun {
+fn completed(service: &str, content: u64, ms: u64) -> CompletedRun {
     CompletedRun {
         service: service.into(),
         content: Content::from_number(content),
@@ -43,25 +43,25 @@
     }
 }
 
-/// Takes ends in as they come, and looks every 100 ms until the given time. Findings
-/// of the last look, and when something was first quarantined.
-fn play(ends: Vec<UpstreamCrash>, until: u64) -> (Findings, Vec<(u64, u64)>) {
+/// Records crashes at their times and evaluates them every 100 ms until the given time. Returns
+/// the findings of the last evaluation, and when each request was first quarantined.
+fn evaluate(crashes: Vec<UpstreamCrash>, until: u64) -> (Findings, Vec<(u64, u64)>) {
     let mut evidence = CrashEvidence::default();
-    play_on(&mut evidence, ends, 0, until)
+    evaluate_from(&mut evidence, crashes, 0, until)
 }
 
-fn play_on(
+fn evaluate_from(
     evidence: &mut CrashEvidence,
-    ends: Vec<UpstreamCrash>,
+    crashes: Vec<UpstreamCrash>,
     from: u64,
     until: u64,
 ) -> (Findings, Vec<(u64, u64)>) {
-    let mut ends = ends.into_iter().peekable();
+    let mut crashes = crashes.into_iter().peekable();
     let mut first: Vec<(u64, u64)> = Vec::new();
     let mut last = Findings::default();
     for ms in (from..=until).step_by(100) {
-        while let Some(end) = ends.next_if(|e| e.at <= at(ms)) {
-            evidence.record_crash(at(ms), end);
+        while let Some(crash) = crashes.next_if(|e| e.at <= at(ms)) {
+            evidence.record_crash(at(ms), crash);
         }
         last = evidence.findings(at(ms));
         for found in &last.quarantined {
@@ -78,149 +78,150 @@
     findings.iter().map(|f| f.content.number()).collect()
 }
 
-/// A request ends an upstream each 600 ms. It is found within 3 s of the third end,
-/// and before three more have ended.
+/// A request crashes an upstream every 600 ms. A quarantine is due within 3 s of the third
+/// crash; it takes effect after 1.2 s, before three more upstreams have crashed.
 #[test]
-fn what_ends_three_upstreams_one_after_the_other_is_quarantined_in_time() {
-    let ends = (0..8).map(|n| end(n, 1_000 + n * 600, &[(BAD, 900 + n * 600)]));
-    let (_, first) = play(ends.collect(), 10_000);
+fn a_request_that_crashes_three_upstreams_is_quarantined_in_time() {
+    let crashes = (0..8).map(|n| crash(n, 1_000 + n * 600, &[(BAD, 900 + n * 600)]));
+    let (_, first) = evaluate(crashes.collect(), 10_000);
     let (when, who) = first[0];
     let third = 1_000 + 2 * 600;
     assert_eq!(who, BAD);
     assert!(
         when <= third + 1_200,
-        "found at {when}, third end at {third}"
+        "found at {when}, third crash at {third}"
     );
 }
 
-/// A rack loses power with nine upstreams, and a request that many callers repeat was at
-/// each of them. It ends nothing: it was there nine times at one moment.
+/// A rack with nine upstreams loses power while a request that many callers retry is running at
+/// each of them. The request caused no crash, as all nine occurred at the same time.
 #[test]
-fn a_loss_of_power_under_a_repeated_request_is_one_end() {
-    let ends = (0..9).map(|n| end(n, 1_000 + n, &[(OTHER, 950 + n % 3)]));
-    let (last, first) = play(ends.collect(), 10_000);
+fn a_power_loss_during_a_retried_request_counts_as_one_crash() {
+    let crashes = (0..9).map(|n| crash(n, 1_000 + n, &[(OTHER, 950 + n % 3)]));
+    let (last, first) = evaluate(crashes.collect(), 10_000);
     assert_eq!(first, []);
     assert_eq!(last, Findings::default());
 }
 
-/// Power is lost three times, seconds apart, under a request that is always there. In
-/// between it has run well, as somebody remembers who is asked at the second end.
+/// Power is lost three times, seconds apart, each time during the same request. Between the
+/// losses it has completed, which an instance reports when it is asked after the second one.
 #[test]
-fn a_request_that_ran_well_between_losses_is_not_held_against() {
+fn a_request_that_completed_between_power_losses_is_not_quarantined() {
     let mut evidence = CrashEvidence::default();
     let loss = |k: u64| -> Vec<UpstreamCrash> {
-        let one = move |n: u64| end(k * 9 + n, k * 4_000 + n, &[(OTHER, k * 4_000 - 100)]);
+        let one = move |n: u64| crash(k * 9 + n, k * 4_000 + n, &[(OTHER, k * 4_000 - 100)]);
         (0..9).map(one).collect()
     };
-    play_on(&mut evidence, loss(1), 0, 5_000);
-    let (last, _) = play_on(&mut evidence, loss(2), 5_100, 9_000);
+    evaluate_from(&mut evidence, loss(1), 0, 5_000);
+    let (last, _) = evaluate_from(&mut evidence, loss(2), 5_100, 9_000);
     assert_eq!(numbers(&last.suspected), [OTHER]);
-    evidence.record_completed_run(&good("pool", OTHER, 8_900));
-    let (last, first) = play_on(&mut evidence, loss(3), 9_100, 20_000);
+    evidence.record_completed_run(&completed("pool", OTHER, 8_900));
+    let (last, first) = evaluate_from(&mut evidence, loss(3), 9_100, 20_000);
     assert_eq!(first, []);
     assert_eq!(last, Findings::default());
 }
 
-/// A run that ended well at the service of a stage says nothing of the model's upstreams,
-/// which the same request ends.
+/// A request completes at the service of a stage and crashes the upstreams of the model. The
+/// completed run does not clear it of these crashes.
 #[test]
-fn a_run_at_another_service_speaks_for_nobody() {
+fn a_completed_run_at_another_service_clears_no_request() {
     let mut evidence = CrashEvidence::default();
     for n in 0..3 {
-        let ended = end(n, 1_000 + n * 600, &[(BAD, 900 + n * 600)]);
-        evidence.record_crash(at(1_000 + n * 600), ended);
+        let crash = crash(n, 1_000 + n * 600, &[(BAD, 900 + n * 600)]);
+        evidence.record_crash(at(1_000 + n * 600), crash);
     }
-    evidence.record_completed_run(&good("stage", BAD, 2_250));
-    let (last, _) = play_on(&mut evidence, Vec::new(), 2_300, 6_000);
+    evidence.record_completed_run(&completed("stage", BAD, 2_250));
+    let (last, _) = evaluate_from(&mut evidence, Vec::new(), 2_300, 6_000);
     assert_eq!(numbers(&last.quarantined), [BAD]);
 }
 
-/// A request ran well, and a moment later it ends each upstream that runs it. That it ran
-/// before speaks for it at no end that came after.
+/// A request completes once, and a moment later it crashes every upstream that runs it. The
+/// completed run clears it of no later crash.
 #[test]
-fn a_run_before_speaks_against_no_end_after_it() {
+fn a_completed_run_clears_a_request_of_no_later_crash() {
     let mut evidence = CrashEvidence::default();
     for n in 0..3 {
         let ms = 1_000 + n * 600;
-        evidence.record_crash(at(ms), end(n, ms, &[(BAD, ms - 100)]));
-        assert!(!evidence.record_completed_run(&good("pool", BAD, 850)));
+        evidence.record_crash(at(ms), crash(n, ms, &[(BAD, ms - 100)]));
+        assert!(!evidence.record_completed_run(&completed("pool", BAD, 850)));
     }
-    let (last, _) = play_on(&mut evidence, Vec::new(), 2_300, 6_000);
+    let (last, _) = evaluate_from(&mut evidence, Vec::new(), 2_300, 6_000);
     assert_eq!(numbers(&last.quarantined), [BAD]);
 }
 
-/// Two requests are at every upstream that ends, and one of them is innocent: a hot one,
-/// sent again and again. The other's runs end sooner. Who it is shows: it alone is held.
+/// Two requests are running at every crash, one of which is innocent: a busy one that is sent
+/// again and again. The runs of the other are shorter, and only that one is quarantined.
 #[test]
-fn a_neighbour_at_every_end_is_cleared_by_the_one_that_explains_them() {
-    let ends = (0..5).map(|n| {
+fn a_request_present_at_every_crash_is_cleared_by_the_cause() {
+    let crashes = (0..5).map(|n| {
         let ms = 1_000 + n * 700;
-        end(n, ms, &[(OTHER, ms - 400), (BAD, ms - 80)])
+        crash(n, ms, &[(OTHER, ms - 400), (BAD, ms - 80)])
     });
-    let (last, first) = play(ends.collect(), 12_000);
+    let (last, first) = evaluate(crashes.collect(), 12_000);
     assert_eq!(first.len(), 1);
     assert_eq!(first[0].1, BAD);
     assert_eq!(numbers(&last.quarantined), [BAD]);
     assert_eq!(last.suspected, []);
 }
 
-/// A hot request is at every upstream many times over, and its newest run there has just
-/// begun when the upstream ends. Its oldest one there shows that it had been begun long
-/// before, and ended nothing.
+/// A busy request has many runs at every upstream, the latest of which has just begun at each
+/// crash. The earliest one shows that the request had been running for long before the crash
+/// without causing one.
 #[test]
-fn a_hot_neighbour_whose_newest_run_is_the_freshest_is_not_held() {
-    let ends = (0..6).map(|n| {
+fn a_busy_request_with_the_latest_run_is_not_quarantined() {
+    let crashes = (0..6).map(|n| {
         let ms = 1_000 + n * 900;
-        end(n, ms, &[(OTHER, ms - 700), (BAD, ms - 80), (OTHER, ms - 5)])
+        crash(n, ms, &[(OTHER, ms - 700), (BAD, ms - 80), (OTHER, ms - 5)])
     });
-    let (last, first) = play(ends.collect(), 12_000);
+    let (last, first) = evaluate(crashes.collect(), 12_000);
     assert_eq!(first.len(), 1);
     assert_eq!(first[0].1, BAD);
     assert_eq!(last.suspected, []);
 }
 
-/// A rack loses its upstreams one after the other within two seconds. A hot request was at
-/// each of them since before the first, and new runs of it had begun there meanwhile.
+/// The upstreams of a rack fail one after the other within two seconds. A busy request was
+/// running at each of them since before the first failure, and has begun more runs there since.
 #[test]
-fn a_loss_that_takes_seconds_under_a_hot_request_is_one_end() {
-    let ends = (0..10).map(|n| {
+fn a_power_loss_over_seconds_counts_as_one_crash_of_a_busy_request() {
+    let crashes = (0..10).map(|n| {
         let ms = 1_000 + n * 200;
-        end(n, ms, &[(OTHER, 900), (OTHER, ms - 20)])
+        crash(n, ms, &[(OTHER, 900), (OTHER, ms - 20)])
     });
-    let (last, first) = play(ends.collect(), 10_000);
+    let (last, first) = evaluate(crashes.collect(), 10_000);
     assert_eq!(first, []);
     assert_eq!(last, Findings::default());
 }
 
-/// The same until the third end, and the fourth is under one of them alone. Nobody was
-/// held before that, and the other one never is.
+/// Two requests are running at the first three crashes, and only one of them at the fourth.
+/// Neither is quarantined before the fourth crash, and the other one never is.
 #[test]
-fn of_two_that_were_always_together_nobody_is_held_until_they_part() {
+fn two_requests_always_present_together_are_not_quarantined_until_separated() {
     let mut evidence = CrashEvidence::default();
     let both = (0..3).map(|n| {
         let ms = 1_000 + n * 700;
-        end(n, ms, &[(OTHER, ms - 50), (BAD, ms - 80)])
+        crash(n, ms, &[(OTHER, ms - 50), (BAD, ms - 80)])
     });
-    let (_, first) = play_on(&mut evidence, both.collect(), 0, 4_000);
+    let (_, first) = evaluate_from(&mut evidence, both.collect(), 0, 4_000);
     assert_eq!(first, []);
-    let alone = vec![end(3, 4_100, &[(BAD, 4_050)])];
-    let (last, first) = play_on(&mut evidence, alone, 4_100, 7_000);
+    let alone = vec![crash(3, 4_100, &[(BAD, 4_050)])];
+    let (last, first) = evaluate_from(&mut evidence, alone, 4_100, 7_000);
     assert_eq!(first.len(), 1);
     assert_eq!(numbers(&last.quarantined), [BAD]);
 }
 
-/// They do not part at the fourth end, and the innocent one's runs were ended sooner, so
-/// that it is held. Upstreams go on ending: the other is found and the first released.
+/// The fourth crash does not separate two requests, and the innocent one, whose runs are
+/// shorter, is quarantined. Upstreams go on crashing: the other request is found and the first
+/// one is released.
 #[test]
-fn a_neighbour_that_was_held_first_is_released_once_the_other_is_found() {
+fn a_request_quarantined_by_mistake_is_released_once_the_cause_is_found() {
     let mut evidence = CrashEvidence::default();
     let both = (0..4).map(|n| {
         let ms = 1_000 + n * 700;
-        end(n, ms, &[(OTHER, ms - 50), (BAD, ms - 80)])
+        crash(n, ms, &[(OTHER, ms - 50), (BAD, ms - 80)])
     });
-    let (last, _) = play_on(&mut evidence, both.collect(), 0, 4_500);
+    let (last, _) = evaluate_from(&mut evidence, both.collect(), 0, 4_500);
     assert_eq!(numbers(&last.quarantined), [OTHER]);
-    evidence.record_crash(at(4_600), end(4, 4_600, &[(BAD, 4_550)]));
+    evidence.record_crash(at(4_600), crash(4, 4_600, &[(BAD, 4_550)]));
     let mut released = Vec::new();
     for ms in (4_600..7_000).step_by(100) {
         released.extend(evidence.findings(at(ms)).released);
@@ -229,43 +230,43 @@
     assert_eq!(numbers(&evidence.findings(at(7_000)).quarantined), [BAD]);
 }
 
-/// Two requests each end upstreams of their own. Both are found.
+/// Two requests crash different upstreams. Both are found.
 #[test]
-fn two_requests_that_end_upstreams_are_both_found() {
-    let ends = (0..8).map(|n| {
+fn two_requests_that_crash_upstreams_are_both_found() {
+    let crashes = (0..8).map(|n| {
         let ms = 1_000 + n * 500;
         let who = [BAD, OTHER][n as usize % 2];
-        end(n, ms, &[(who, ms - 80), (THIRD + n, ms - 900)])
+        crash(n, ms, &[(who, ms - 80), (THIRD + n, ms - 900)])
     });
-    let (last, _) = play(ends.collect(), 12_000);
+    let (last, _) = evaluate(crashes.collect(), 12_000);
     let mut found = numbers(&last.quarantined);
     found.sort_unstable();
     assert_eq!(found, [BAD, OTHER]);
     assert_eq!(last.suspected, []);
 }
 
-/// The same where each has ended three. That another one has ended as many, elsewhere, is no
-/// reason to wait for a fourth.
+/// Two requests crash three upstreams each. The fact that the other request has as many
+/// crashes, at other upstreams, does not delay the quarantine to a fourth.
 #[test]
-fn two_requests_that_end_three_upstreams_each_are_found_after_three() {
-    let ends = (0..6).map(|n| {
+fn two_requests_that_crash_three_upstreams_each_are_found_after_three() {
+    let crashes = (0..6).map(|n| {
         let ms = 1_000 + n * 300;
         let who = [BAD, OTHER][n as usize % 2];
-        end(n, ms, &[(who, ms - 80)])
+        crash(n, ms, &[(who, ms - 80)])
     });
-    let (last, _) = play(ends.collect(), 8_000);
+    let (last, _) = evaluate(crashes.collect(), 8_000);
     let mut found = numbers(&last.quarantined);
     found.sort_unstable();
     assert_eq!(found, [BAD, OTHER]);
 }
 
-/// An instance is cut off from upstreams that refuse it, three times. They are listed
-/// long after, since they had not ended: what was held is taken back.
+/// An instance is cut off from three upstreams, one after the other. They are still listed long
+/// afterwards, as they have not crashed, and the request is released.
 #[test]
-fn upstreams_that_are_still_listed_have_not_ended() {
+fn upstreams_that_are_still_listed_have_not_crashed() {
     let mut evidence = CrashEvidence::default();
-    let ends = (0..3).map(|n| end(n, 1_000 + n * 600, &[(OTHER, 900 + n * 600)]));
-    let (last, _) = play_on(&mut evidence, ends.collect(), 0, 4_000);
+    let crashes = (0..3).map(|n| crash(n, 1_000 + n * 600, &[(OTHER, 900 + n * 600)]));
+    let (last, _) = evaluate_from(&mut evidence, crashes.collect(), 0, 4_000);
     assert_eq!(numbers(&last.quarantined), [OTHER]);
     evidence.discard_listed(at(12_000), |_, _| true);
     let findings = evidence.findings(at(12_000));
@@ -273,50 +274,51 @@
     assert_eq!(findings.released, [Content::from_number(OTHER)]);
 }
 
-/// One customer's requests, each new, end upstreams at which another's request is, that
-/// has run well beside. Who saw it run says so, and it is not held against.
+/// New requests of one customer crash upstreams that also run a request of another customer,
+/// which has completed elsewhere. Instances that saw it complete report this, and it is not
+/// quarantined.
 #[test]
-fn requests_of_one_customer_do_not_turn_anothers_away() {
+fn requests_of_one_customer_do_not_quarantine_those_of_another() {
     let mut evidence = CrashEvidence::default();
     let mut quarantined = Vec::new();
     for n in 0..10 {
         let ms = 1_000 + n * 1_500;
-        let ended = end(n, ms, &[(100 + n, ms - 60), (OTHER, ms - 300)]);
-        evidence.record_crash(at(ms), ended);
+        let crash = crash(n, ms, &[(100 + n, ms - 60), (OTHER, ms - 300)]);
+        evidence.record_crash(at(ms), crash);
         for later in (ms..ms + 1_500).step_by(100) {
             let findings = evidence.findings(at(later));
             quarantined.extend(numbers(&findings.quarantined));
             if numbers(&findings.suspected).contains(&OTHER) {
-                evidence.record_completed_run(&good("pool", OTHER, later));
+                evidence.record_completed_run(&completed("pool", OTHER, later));
             }
         }
     }
     assert_eq!(quarantined, []);
 }
 
-/// After its quarantine has lapsed a request is let through, and ends one upstream more.
+/// After its quarantine has expired, a request is let through and crashes another upstream.
 #[test]
-fn one_end_more_is_enough_after_a_quarantine_has_lapsed() {
+fn one_more_crash_suffices_after_a_quarantine_has_expired() {
     let mut evidence = CrashEvidence::default();
-    let ends = (0..3).map(|n| end(n, 1_000 + n * 600, &[(BAD, 900 + n * 600)]));
-    play_on(&mut evidence, ends.collect(), 0, 4_000);
+    let crashes = (0..3).map(|n| crash(n, 1_000 + n * 600, &[(BAD, 900 + n * 600)]));
+    evaluate_from(&mut evidence, crashes.collect(), 0, 4_000);
     let later = 700_000;
-    evidence.record_crash(at(later), end(9, later, &[(BAD, later - 80)]));
+    evidence.record_crash(at(later), crash(9, later, &[(BAD, later - 80)]));
     let findings = evidence.findings(at(later + 300));
     assert_eq!(numbers(&findings.quarantined), [BAD]);
 }
 
-/// Upstreams end by the thousand for months: what is kept stays bounded, and forgetting
-/// an end releases nobody.
+/// Thousands of upstreams crash over months. The stored evidence stays bounded, and evicting a
+/// crash releases no request.
 #[test]
-fn evidence_is_bounded_and_what_it_forgets_releases_nobody() {
+fn evidence_is_bounded_and_its_eviction_releases_no_request() {
     let mut evidence = CrashEvidence::default();
-    let ends = (0..3).map(|n| end(n, 1_000 + n * 600, &[(BAD, 900 + n * 600)]));
-    let (last, _) = play_on(&mut evidence, ends.collect(), 0, 4_000);
+    let crashes = (0..3).map(|n| crash(n, 1_000 + n * 600, &[(BAD, 900 + n * 600)]));
+    let (last, _) = evaluate_from(&mut evidence, crashes.collect(), 0, 4_000);
     assert_eq!(numbers(&last.quarantined), [BAD]);
     for n in 10..2_000 {
         let ms = 4_000 + n * 10;
-        evidence.record_crash(at(ms), end(n, ms, &[(1_000 + n, ms - 5)]));
+        evidence.record_crash(at(ms), crash(n, ms, &[(1_000 + n, ms - 5)]));
         assert_eq!(evidence.findings(at(ms)).released, []);
     }
 }
--- a/crates/serving/tests/eras.rs
+++ b/crates/serving/tests/eras.rs
@@ -1,4 +1,4 @@
-//! A store that comes back from an older copy: its revisions are given out again in a higher era.
+//! A store that is restored from an older copy and assigns its revisions again in a higher era.
 
 #![allow(clippy::expect_used, clippy::panic)]
 
@@ -42,17 +42,17 @@
 #[test_case(rev(1, 100), rev(1, 99), false; "a lower one of the same era is not")]
 #[test_case(rev(2, 3), rev(1, 100), false; "an answer of the earlier era comes late")]
 #[test_case(rev(1, 100), rev(4, 1), true; "several restores since")]
-fn a_whole_reading_counts_if_it_is_later(known: StoreRevision, read: StoreRevision, taken: bool) {
+fn a_full_read_is_applied_if_it_is_later(known: StoreRevision, read: StoreRevision, taken: bool) {
     let mut mirror = StoreMirror::default();
     mirror.replace(vec![put("a", known)], known);
     assert_eq!(mirror.replace(vec![put("b", read)], read), taken);
     assert_eq!(mirror.revision(), known.max(read));
 }
 
-/// A watch that began before the restore is answered after it, once revisions have passed where it
-/// began. What was written below them would be missing for good.
+/// A watch that began before the restore is answered after it, once the revisions have passed
+/// its starting point. Changes written below that revision would be missing forever.
 #[test]
-fn changes_of_another_era_are_not_taken_for_the_next_ones() {
+fn changes_of_another_era_are_ignored() {
     let mut mirror = StoreMirror::default();
     mirror.replace(vec![put("a", rev(1, 10))], rev(1, 10));
     assert!(
@@ -71,7 +71,7 @@
     assert_eq!(items, [put("c", rev(2, 4))]);
 }
 
-/// A follower that knows the earlier era up to a high revision is sent everything, and one that is
+/// A follower that has a high revision of the earlier era is sent everything, and one that is
 /// in a later era already is sent nothing.
 #[test]
 fn a_follower_of_another_era_is_sent_everything_or_nothing() {
@@ -89,16 +89,16 @@
 #[test_case(rev(1, 101), true; "the store is ahead")]
 #[test_case(rev(1, 99), false; "nothing is missing")]
 #[test_case(rev(0, 900), false; "an answer of an earlier era")]
-fn what_is_missing_is_told_by_era_and_revision(said: StoreRevision, missing: bool) {
+fn missing_changes_are_detected_by_era_and_revision(reported: StoreRevision, missing: bool) {
     let mut freshness = Freshness::default();
     freshness.record_applied(rev(1, 100));
-    assert_eq!(freshness.record_confirmation(at(1_000), said), missing);
+    assert_eq!(freshness.record_confirmation(at(1_000), reported), missing);
 }
 
-/// Proof of an earlier era says nothing of this one: what came after the copy was made may never
-/// have come here.
+/// A proof of an earlier era is not valid in the current one: changes made after the copy may
+/// never have arrived here.
 #[test]
-fn proof_of_an_earlier_era_proves_nothing() {
+fn proof_of_an_earlier_era_is_ignored() {
     let mut freshness = Freshness::default();
     freshness.record_applied(rev(2, 5));
     freshness.record_confirmation(at(1_000), rev(1, 4));
@@ -111,9 +111,9 @@
     assert_eq!(freshness.age(at(2_100)), Some(Duration::from_millis(100)));
 }
 
-/// What was missing in the earlier era is not proven by what is read of the later one.
+/// Changes missing in the earlier era are not proven to be present by reading the later one.
 #[test]
-fn what_was_missing_in_an_earlier_era_is_given_up() {
+fn changes_missing_in_an_earlier_era_are_no_longer_awaited() {
     let mut freshness = Freshness::default();
     freshness.record_applied(rev(1, 100));
     assert!(freshness.record_confirmation(at(1_000), rev(1, 120)));
@@ -138,36 +138,37 @@
     live.map(|e| e.incarnation.get()).collect()
 }
 
-/// An instance started anew after the restore, so that its entry has a lower revision than that of
-/// its earlier start.
+/// An instance restarts after the restore, so that its entry has a lower revision than that of
+/// its earlier incarnation.
 #[test]
-fn an_entry_of_a_later_era_displaces_one_of_an_earlier() {
+fn an_entry_of_a_later_era_replaces_an_earlier_one() {
     let mut directory = InstanceDirectory::default();
     directory.put(at(1_000), instance(1), rev(1, 100));
     directory.put(at(2_000), instance(2), rev(2, 7));
     assert_eq!(live(&directory, 2_000), [2]);
 }
 
-/// The copy has the entry of an earlier start, which this one had removed. It answers heartbeats.
+/// The copy contains the entry of an earlier incarnation, which the current one had removed.
+/// The current one answers heartbeats.
 #[test]
-fn an_instance_that_answers_is_not_displaced_by_a_copy() {
-    let well = Heartbeat {
+fn a_responsive_instance_is_not_replaced_by_a_restored_entry() {
+    let healthy = Heartbeat {
         leaving: false,
         ready: true,
         store_loaded: true,
     };
     let mut directory = InstanceDirectory::default();
     directory.put(at(1_000), instance(2), rev(1, 100));
-    directory.record_heartbeat(at(2_000), Incarnation::new(2), well);
+    directory.record_heartbeat(at(2_000), Incarnation::new(2), healthy);
     directory.put(at(2_100), instance(1), rev(2, 7));
     assert_eq!(live(&directory, 2_100), [2]);
 }
 
-/// Nobody here exchanges heartbeats with the instance, as in a large fleet. It has three seconds to write
-/// again the entry that the store lost.
-#[test_case(true; "written again")]
-#[test_case(false; "not written again")]
-fn an_instance_that_a_copy_lacks_stays_listed_for_a_while(again: bool) {
+/// The instance is not monitored from here, as in a large fleet. It has three seconds to
+/// rewrite the entry that the store lost.
+#[test_case(true; "rewritten")]
+#[test_case(false; "not rewritten")]
+fn an_instance_missing_in_a_restored_store_stays_listed_for_a_while(again: bool) {
     let mut directory = InstanceDirectory::default();
     directory.put(at(1_000), instance(1), rev(1, 100));
     directory.set_monitored(at(1_000), &[]);
--- a/crates/serving/tests/instances.rs
+++ b/crates/serving/tests/instances.rs
@@ -1,4 +1,4 @@
-//! Which instances callers and peers are told of.
+//! Which instances are live, and which addresses are given to callers and peers.
 
 #![allow(clippy::expect_used, clippy::panic)]
 
@@ -28,7 +28,7 @@
     }
 }
 
-const WELL: Heartbeat = Heartbeat {
+const HEALTHY: Heartbeat = Heartbeat {
     leaving: false,
     ready: true,
     store_loaded: true,
@@ -36,7 +36,7 @@
 const LEAVING: Heartbeat = Heartbeat {
     leaving: true,
     ready: false,
-    ..WELL
+    ..HEALTHY
 };
 
 fn at(ms: u64) -> MonoTime {
@@ -53,26 +53,26 @@
     ids
 }
 
-/// After all instances lost power two of them filled batches for the rest of
-/// the day, each for half of the others. The entry of an instance's earlier
-/// start was read after that of its later start and displaced it; nothing
-/// brought the later one back, since a renewed lease is no change.
+/// After a power loss of all instances, two of them filled batches for the rest of the day,
+/// each for half of the others. The entry of an instance's earlier incarnation was read after
+/// that of its later one and replaced it, and nothing brought the later one back, since
+/// renewing a lease changes no entry.
 #[test]
-fn an_entry_of_an_earlier_start_does_not_displace_the_later_one() {
+fn an_entry_of_an_earlier_incarnation_does_not_replace_the_later_one() {
     let mut directory = InstanceDirectory::default();
     let (later, earlier) = (entry(2, 1, "a"), entry(9, 1, "a"));
     directory.put(at(1_000), later.clone(), rev(20));
     directory.put(at(1_000), earlier.clone(), rev(10));
     directory.record_restart(at(1_050), earlier.incarnation, later.incarnation);
-    directory.record_heartbeat(at(1_400), later.incarnation, WELL);
+    directory.record_heartbeat(at(1_400), later.incarnation, HEALTHY);
     assert_eq!(live(&directory, at(1_500)), [later.incarnation]);
 }
 
-/// All instances are killed and start anew, with their earlier entries still
-/// under a lease. Stages were asked for at owners that were gone, 274 times in a
-/// second, and each time the request waited until heartbeats were missed.
+/// All instances are killed and restart while their earlier entries are still leased. Stages
+/// were sent to owners that no longer existed, 274 times in one second, and each time the
+/// request waited until heartbeats were missed.
 #[test]
-fn an_instance_that_started_anew_is_no_longer_its_earlier_self() {
+fn a_restarted_instance_replaces_its_earlier_incarnation() {
     let mut directory = InstanceDirectory::default();
     let (earlier, later) = (entry(9, 1, "a"), entry(2, 1, "a"));
     directory.put(at(1_000), earlier, rev(10));
@@ -80,12 +80,12 @@
     assert_eq!(live(&directory, at(1_150)), [later.incarnation]);
 }
 
-/// All instances are killed and start anew at once. Each reads nine entries of
-/// dead starts, hears others before their new entries come, and then reads those.
-/// By their identities they ranked themselves differently at each step: six of
-/// nine filled batches beside each other for three seconds.
+/// All instances restart at once. Each reads nine entries of earlier incarnations, receives
+/// heartbeats of the new ones before their entries arrive, and then reads these. When instances
+/// were ranked by incarnation, the ranking changed at each of these steps, and six of nine
+/// instances filled batches in parallel for three seconds.
 #[test]
-fn all_instances_agree_on_one_owner_while_all_start_anew() {
+fn all_instances_agree_on_one_owner_while_all_restart() {
     let earlier: Vec<InstanceEntry> = (1..=9_u8).map(|n| entry(n.into(), n, "a")).collect();
     let later = |n: usize| InstanceEntry {
         incarnation: Incarnation::new(1_000 - n as u64),
@@ -109,7 +109,7 @@
             seen.push(first(&directory, at(60), &later(me)));
         }
         for n in &others {
-            // Read once more from a page that is older than what was heard.
+            // Read again from a page that is older than the heartbeats.
             directory.put(at(80), earlier[*n].clone(), rev(1 + *n as u64));
             directory.put(at(90), later(*n), rev(100 + *n as u64));
         }
@@ -119,40 +119,40 @@
     assert_eq!(seen.len(), 1, "{seen:?}");
 }
 
-/// An instance starts while the entry of a machine that lost power is still
-/// listed. Nobody has heard that one, yet stages were asked for there and
-/// requests waited 1.3 s each before they went to the next.
+/// An instance starts while the entry of a machine that lost power is still listed. Although
+/// the machine never answered a heartbeat, stages were sent there, and each request waited 1.3
+/// s before it went to the next instance.
 #[test]
-fn an_instance_that_nobody_has_heard_is_soon_passed_over() {
+fn an_instance_that_never_answered_is_soon_considered_absent() {
     let mut directory = InstanceDirectory::default();
     let a = entry(1, 1, "a");
     directory.put(at(1_000), a.clone(), rev(1));
     assert_eq!(live(&directory, at(1_500)), [a.incarnation]);
     assert!(live(&directory, at(1_700)).is_empty());
-    directory.record_heartbeat(at(1_800), a.incarnation, WELL);
+    directory.record_heartbeat(at(1_800), a.incarnation, HEALTHY);
     assert_eq!(live(&directory, at(2_900)), [a.incarnation]);
 }
 
-/// A caller that is sent to a dead instance loses a second or its whole
-/// deadline. The instance's lease lasts longer than three missed heartbeats.
+/// A caller that is sent to a dead instance loses a second or its whole deadline. The
+/// instance's lease lasts longer than three missed heartbeats.
 #[test]
-fn a_silent_instance_is_not_named() {
+fn callers_are_not_sent_to_an_unresponsive_instance() {
     let mut directory = InstanceDirectory::default();
     let (a, b) = (entry(1, 1, "a"), entry(2, 2, "a"));
     directory.put(at(1_000), a.clone(), rev(1));
     directory.put(at(1_000), b.clone(), rev(1));
-    directory.record_heartbeat(at(2_000), a.incarnation, WELL);
-    directory.record_heartbeat(at(3_000), a.incarnation, WELL);
+    directory.record_heartbeat(at(2_000), a.incarnation, HEALTHY);
+    directory.record_heartbeat(at(3_000), a.incarnation, HEALTHY);
     assert_eq!(
         directory.addresses(at(3_000), "a", None),
         [a.caller_address]
     );
 }
 
-/// A stop names the instance as leaving; what was heard before counts no more,
-/// even if an older entry of it is read again.
+/// An instance that stops reports that it is leaving. It stays excluded even if an older entry
+/// of it is read again.
 #[test]
-fn an_instance_that_leaves_is_not_named_again() {
+fn callers_are_not_sent_to_a_leaving_instance_again() {
     let mut directory = InstanceDirectory::default();
     let a = entry(1, 1, "a");
     directory.put(at(1_000), a.clone(), rev(1));
@@ -161,7 +161,7 @@
     assert!(directory.addresses(at(1_200), "a", None).is_empty());
 }
 
-/// While the store is away leases run out although every instance is well.
+/// During an outage of the store leases expire although every instance is healthy.
 #[test]
 fn an_instance_that_answers_outlives_its_entry() {
     let mut directory = InstanceDirectory::default();
@@ -169,7 +169,7 @@
     directory.put(at(1_000), a.clone(), rev(1));
     directory.unlist(a.incarnation);
     for now in (1_400..9_000).step_by(400) {
-        directory.record_heartbeat(at(now), a.incarnation, WELL);
+        directory.record_heartbeat(at(now), a.incarnation, HEALTHY);
         directory.expire(at(now));
         assert_eq!(live(&directory, at(now)), [a.incarnation]);
     }
@@ -207,10 +207,10 @@
     }
 }
 
-/// In a fleet of unequal instances one with a tenth of a core became the owner
-/// of a third of all batches. Its calls went out late, and so did all others.
+/// In a fleet of unequal instances, one with a tenth of a core became the owner of a third of
+/// all batches. Its calls went out late, and with them all others.
 #[test]
-fn the_strongest_instance_of_the_zone_fills_the_batches() {
+fn the_strongest_instance_of_the_zone_owns_the_shard() {
     let weak = |n: u8| entry(n.into(), n, "a");
     let strong = |n: u8, zone| InstanceEntry {
         strength: Strength::new(50, 200),
@@ -232,10 +232,10 @@
     assert!(Strength::new(50, 200) > Strength::new(12, 200));
 }
 
-/// Of many instances each exchanges heartbeats with a few. The others count as
-/// there for as long as the store lists them.
+/// In a large fleet each instance exchanges heartbeats with a few others. The rest count as
+/// present for as long as the store lists them.
 #[test]
-fn an_instance_that_is_not_watched_is_judged_by_its_entry() {
+fn an_unmonitored_instance_is_present_while_it_is_listed() {
     let mut directory = InstanceDirectory::default();
     let (a, b) = (entry(1, 1, "a"), entry(2, 2, "a"));
     directory.put(at(1_000), a.clone(), rev(1));
@@ -246,11 +246,11 @@
     assert!(live(&directory, at(9_000)).is_empty());
 }
 
-/// An instance lost power while the store forgot its history. Nobody was told
-/// that its entry had run out, and callers were sent to it for the rest of the
-/// day, a second lost to each.
+/// An instance loses power while the store has dropped its change history. The expiry of its
+/// entry was never delivered, and callers were sent to it for the rest of the day, each losing
+/// a second.
 #[test]
-fn an_entry_that_ran_out_unseen_is_not_listed_after_reading_again() {
+fn an_entry_whose_expiry_was_missed_is_not_listed_after_a_full_read() {
     let mut directory = InstanceDirectory::default();
     let (a, b) = (entry(1, 1, "a"), entry(2, 2, "a"));
     directory.put(at(1_000), a.clone(), rev(1));
@@ -260,15 +260,15 @@
     assert_eq!(live(&directory, at(1_100)), [a.incarnation]);
 }
 
-/// An instance is cut off from the store alone, and its entry runs out. Another
-/// that started meanwhile read of all but this one, took itself for the first and
-/// filled batches beside it for ten seconds: 793 pieces found their inputs gone.
+/// An instance is cut off from the store alone, and its entry expires. Another one that started
+/// meanwhile read all entries but this, considered itself the first owner and filled batches in
+/// parallel for ten seconds: 793 pieces found their inputs gone.
 #[test]
-fn an_instance_cut_off_from_the_store_is_known_to_one_that_starts() {
+fn an_instance_cut_off_from_the_store_is_known_to_a_starting_one() {
     let (cut, old, new) = (entry(1, 1, "a"), entry(2, 2, "a"), entry(3, 3, "a"));
     let mut before = InstanceDirectory::default();
     before.put(at(1_000), cut.clone(), rev(1));
-    before.record_heartbeat(at(1_100), cut.incarnation, WELL);
+    before.record_heartbeat(at(1_100), cut.incarnation, HEALTHY);
     before.unlist(cut.incarnation);
     let mut started = InstanceDirectory::default();
     started.put(at(1_200), old.clone(), rev(2));
@@ -281,20 +281,21 @@
     };
     before.put(at(1_250), new.clone(), rev(3));
     assert_eq!(first(&before, &old), first(&started, &new));
-    // What only others heard is not passed on: the dead would live for ever.
+    // Instances known only from other instances are not reported further; otherwise dead
+    // instances would be reported forever.
     assert_eq!(started.unlisted(at(1_300)).count(), 0);
 }
 
-/// Instances are stopped in turn while the store is away. The first owner starts
-/// again and knows nothing; each of the others asked it, and then the next by
-/// itself. Now it is no owner until it has read what is in force.
+/// Instances are stopped in turn during an outage of the store. The first owner restarts
+/// without any knowledge; each of the others asked it, and then chose another owner on its own.
+/// An instance that has not read the store is no owner.
 #[test]
-fn an_instance_that_has_read_nothing_fills_no_batches() {
+fn an_instance_that_has_not_read_the_store_owns_no_shard() {
     let mut directory = InstanceDirectory::default();
     let all: Vec<InstanceEntry> = (1..=4_u8).map(|n| entry(n.into(), n, "a")).collect();
     for (n, entry) in all.iter().enumerate() {
         directory.put(at(1_000), entry.clone(), rev(1 + n as u64));
-        directory.record_heartbeat(at(1_000), entry.incarnation, WELL);
+        directory.record_heartbeat(at(1_000), entry.incarnation, HEALTHY);
     }
     let order = |d: &InstanceDirectory| -> Vec<SocketAddr> {
         let order = owners(&shard("", 0), d.live_loaded(at(1_200)), usize::MAX);
@@ -305,20 +306,20 @@
         .iter()
         .find(|e| e.peer_address == before[0])
         .expect("an entry");
-    let blank = Heartbeat {
+    let not_loaded = Heartbeat {
         store_loaded: false,
         ready: false,
-        ..WELL
+        ..HEALTHY
     };
-    directory.record_heartbeat(at(1_100), first.incarnation, blank);
+    directory.record_heartbeat(at(1_100), first.incarnation, not_loaded);
     assert_eq!(order(&directory), before[1..]);
     assert_eq!(live(&directory, at(1_200)).len(), 4);
-    directory.record_heartbeat(at(1_150), first.incarnation, WELL);
+    directory.record_heartbeat(at(1_150), first.incarnation, HEALTHY);
     assert_eq!(order(&directory), before);
 }
 
-/// Three instances that are watched, of which the first answers until `until`.
-fn watched(until: u64) -> InstanceDirectory {
+/// Three monitored instances, of which the first answers until `until`.
+fn monitored(until: u64) -> InstanceDirectory {
     let mut directory = InstanceDirectory::default();
     let all: Vec<InstanceEntry> = (1..=3_u8).map(|n| entry(n.into(), n, "a")).collect();
     for (n, entry) in all.iter().enumerate() {
@@ -328,45 +329,46 @@
     directory.set_monitored(at(1_000), &ids);
     for ms in (1_000..=9_000).step_by(400) {
         if ms <= until {
-            directory.record_heartbeat(at(ms), ids[0], WELL);
+            directory.record_heartbeat(at(ms), ids[0], HEALTHY);
         }
-        directory.record_heartbeat(at(ms), ids[1], WELL);
+        directory.record_heartbeat(at(ms), ids[1], HEALTHY);
     }
-    directory.record_heartbeat(at(9_000), ids[2], WELL);
+    directory.record_heartbeat(at(9_000), ids[2], HEALTHY);
     directory
 }
 
-/// A machine loses power. Its entry stayed until its lease ran out, and callers were
-/// named its address; now one that watches it removes the entry, at the revision at
-/// which it was written and no later one.
+/// A machine loses power. Its entry stayed until its lease expired, and callers were given its
+/// address. An instance that monitors it removes the entry, but only at the revision at which
+/// it was written.
 #[test]
-fn a_silent_instance_is_to_be_removed() {
-    let directory = watched(6_000);
-    let silent = directory.unresponsive(at(9_000));
-    assert_eq!(silent.len(), 1);
-    assert_eq!(silent[0].id, Incarnation::new(1));
-    assert_eq!(silent[0].written, rev(10));
+fn an_unresponsive_instance_is_to_be_removed() {
+    let directory = monitored(6_000);
+    let unresponsive = directory.unresponsive(at(9_000));
+    assert_eq!(unresponsive.len(), 1);
+    assert_eq!(unresponsive[0].id, Incarnation::new(1));
+    assert_eq!(unresponsive[0].written, rev(10));
 }
 
-/// It stood still for a second and a half under load. Removed, it would be named to
-/// nobody until it had written its entry again.
+/// The instance paused for a second and a half under load. If it were removed, callers would
+/// not be sent to it until it had rewritten its entry.
 #[test]
-fn an_instance_that_stood_still_for_a_moment_is_not_removed() {
-    assert!(watched(7_400).unresponsive(at(9_000)).is_empty());
+fn an_instance_that_paused_briefly_is_not_removed() {
+    assert!(monitored(7_400).unresponsive(at(9_000)).is_empty());
 }
 
-/// This instance is cut off and reaches the store alone. All others look silent, and it
-/// removed every one that it watched.
+/// This instance is cut off from all others and reaches only the store. All others appeared
+/// unresponsive, and it removed every instance that it monitored.
 #[test]
-fn an_instance_that_hears_nobody_removes_nobody() {
-    let directory = watched(6_000);
+fn an_isolated_instance_removes_no_other() {
+    let directory = monitored(6_000);
     assert!(directory.unresponsive(at(12_000)).is_empty());
 }
 
-/// Of several that watch an instance one has removed it, and the news is on its way.
+/// Of several instances that monitor another, one has removed its entry, and the update has not
+/// arrived yet.
 #[test]
-fn a_removal_that_was_tried_is_not_tried_again_at_once() {
-    let mut directory = watched(6_000);
+fn a_removal_attempt_is_not_repeated_at_once() {
+    let mut directory = monitored(6_000);
     directory.record_removal_attempt(at(9_000), Incarnation::new(1));
     assert!(directory.unresponsive(at(9_300)).is_empty());
 }
--- a/crates/serving/tests/knowledge.rs
+++ b/crates/serving/tests/knowledge.rs
@@ -1,4 +1,5 @@
-//! What an instance may believe, and for how long.
+//! How long an instance relies on its copy of the store, on expired entries and on its retry
+//! budget.
 
 #![allow(clippy::expect_used, clippy::panic)]
 
@@ -47,10 +48,10 @@
     ids
 }
 
-/// A credential is taken away while this instance is cut off. Its watch is
-/// silent, which proves nothing; only the age of the last answer does.
+/// A credential is revoked while this instance is cut off. Its watch brings no events, which
+/// proves nothing; only the age of the last answer counts.
 #[test]
-fn proof_counts_from_when_it_was_asked_for() {
+fn the_age_of_a_proof_counts_from_the_query() {
     let mut freshness = Freshness::default();
     assert_eq!(freshness.age(at(1_000)), None);
     freshness.record_applied(rev(7));
@@ -58,10 +59,10 @@
     assert_eq!(freshness.age(at(4_000)), Some(Duration::from_secs(3)));
 }
 
-/// The store is ahead of the watch: what is missing may be the very change that
-/// takes a credential away, so the answer proves nothing until it has come.
+/// The store is ahead of the watch. The missing change may be the revocation of a credential,
+/// so the answer proves nothing until the change has arrived.
 #[test]
-fn proof_waits_for_what_is_missing() {
+fn a_proof_counts_once_missing_changes_have_arrived() {
     let mut freshness = Freshness::default();
     freshness.record_applied(rev(7));
     assert!(freshness.record_confirmation(at(1_000), rev(9)));
@@ -74,10 +75,10 @@
     assert_eq!(freshness.age(at(1_100)), Some(Duration::from_millis(100)));
 }
 
-/// The store turns this instance away and serves the others, who hear each
-/// other. Their proof holds here only for what has been taken in here.
+/// The store rejects this instance and serves others, which exchange heartbeats with it. Their
+/// proof counts here only for the changes that have been applied here.
 #[test]
-fn the_proof_of_another_instance_counts_for_what_is_known_here() {
+fn the_proof_of_another_instance_counts_for_applied_changes() {
     let mut freshness = Freshness::default();
     freshness.record_applied(rev(7));
     let proof = |asked, revision| Proof {
@@ -101,10 +102,10 @@
     assert_eq!(freshness.age(at(2_000)), Some(Duration::ZERO));
 }
 
-/// The store is away for longer than leases last: every entry runs out although
-/// every upstream is well, and each is back within two seconds.
+/// The store is unavailable for longer than leases last. Every entry expires although every
+/// upstream is healthy, and each entry is rewritten within two seconds.
 #[test]
-fn entries_that_lapsed_with_the_store_stay_in_use_until_it_is_back() {
+fn entries_that_expired_with_the_store_stay_in_use_until_it_is_back() {
     let mut directory = UpstreamDirectory::default();
     directory.put(at(0), upstream("i-1", false));
     directory.put(at(0), upstream("i-2", false));
@@ -118,8 +119,8 @@
     assert_eq!(ids(&directory), ["i-1"]);
 }
 
-/// One that had said that it leaves has left; waiting for it to come back would
-/// send work to its address, which somebody else may have by now.
+/// An upstream that reported that it is leaving is gone. Waiting for its return would send
+/// requests to its address, which another upstream may have by now.
 #[test]
 fn an_upstream_that_was_leaving_is_gone_at_once() {
     let mut directory = UpstreamDirectory::default();
@@ -131,7 +132,7 @@
 }
 
 #[test]
-fn an_entry_removed_while_the_store_is_well_is_gone_at_once() {
+fn an_entry_removed_while_the_store_is_available_is_gone_at_once() {
     let mut directory = UpstreamDirectory::default();
     directory.put(at(0), upstream("i-1", false));
     assert!(directory.remove(at(1_000), "i-1"));
@@ -146,48 +147,48 @@
     assert!(directory.put(at(0), upstream("i-1", true)));
 }
 
-const BOUND: RetryLimit = RetryLimit {
+const LIMIT: RetryLimit = RetryLimit {
     ratio: 0.2,
     slack: 56.0,
     window: Duration::from_secs(10),
 };
 
-/// A service is down and every request fails at once. Eight instances that each
-/// repeat what they like would send it several times its load.
+/// A service is down and every request fails at once. Eight instances without a limit on
+/// retries would send it several times its load.
 #[test]
-fn all_instances_together_stay_well_inside_the_bound() {
+fn all_instances_together_stay_well_within_the_limit() {
     let mut sent = 0;
     let mut budgets: Vec<RetryBudget> = (0..8).map(|_| RetryBudget::default()).collect();
     for n in 0..800_u64 {
         let now = at(1_000 + n * 12);
         let budget = &mut budgets[n as usize % 8];
-        budget.record_first_attempt(now, &BOUND);
-        sent += usize::from(budget.try_retry(now, &BOUND, 8));
-        sent += usize::from(budget.try_retry(now, &BOUND, 8));
+        budget.record_first_attempt(now, &LIMIT);
+        sent += usize::from(budget.try_retry(now, &LIMIT, 8));
+        sent += usize::from(budget.try_retry(now, &LIMIT, 8));
     }
-    let allowed = 800.0 * BOUND.ratio + BOUND.slack;
+    let allowed = 800.0 * LIMIT.ratio + LIMIT.slack;
     assert!(sent as f64 <= allowed * 0.6, "{sent} of {allowed}");
     assert!(sent > 0);
 }
 
-/// Instances come and go: half of them know only half of the others, and each
-/// of these takes twice its part of the slack.
+/// Instances start and stop: half of them know only half of the others, and each of these uses
+/// twice its share of the slack.
 #[test]
-fn the_bound_holds_when_half_of_the_instances_are_unknown() {
+fn the_limit_holds_when_half_of_the_instances_are_unknown() {
     let mut sent = 0;
     for _ in 0..8 {
         let mut budget = RetryBudget::default();
-        while budget.try_retry(at(1_000), &BOUND, 4) {
+        while budget.try_retry(at(1_000), &LIMIT, 4) {
             sent += 1;
         }
     }
-    assert!(f64::from(sent) <= BOUND.slack);
+    assert!(f64::from(sent) <= LIMIT.slack);
 }
 
 #[test]
-fn repeats_come_back_with_time() {
+fn retries_are_allowed_again_after_the_window() {
     let mut budget = RetryBudget::default();
-    while budget.try_retry(at(1_000), &BOUND, 8) {}
-    assert!(!budget.try_retry(at(10_000), &BOUND, 8));
-    assert!(budget.try_retry(at(11_100), &BOUND, 8));
+    while budget.try_retry(at(1_000), &LIMIT, 8) {}
+    assert!(!budget.try_retry(at(10_000), &LIMIT, 8));
+    assert!(budget.try_retry(at(11_100), &LIMIT, 8));
 }
--- a/crates/serving/tests/limited_fleet.rs
+++ b/crates/serving/tests/limited_fleet.rs
@@ -1,5 +1,6 @@
-//! A fleet before one upstream that names a limit, in virtual time: what instances hear of
-//! each other, whom they ask for permits, and what arrives.
+//! Simulates a fleet that sends to one rate-limited upstream, in virtual time: the exchange of
+//! limits between instances, the choice of the instance that issues permits, and the arrivals
+//! at the upstream.
 
 #![allow(clippy::expect_used, clippy::panic)]
 
@@ -17,23 +18,24 @@
 use test_case::test_matrix;
 
 const STEP: Duration = Duration::from_millis(10);
-/// Between two heartbeats of one instance.
-const BEAT_EVERY: Duration = Duration::from_millis(400);
-/// From an instance's start to its first heartbeat.
-const FIRST_BEAT: Duration = Duration::from_millis(60);
-/// After how long an instance that is gone is passed over.
-const PASSED_OVER: Duration = Duration::from_millis(1_300);
-/// The longest that a request is on its way.
-const ON_ITS_WAY_MS: u64 = 300;
-/// When the upstream names its limit, and when it does no more.
-const NAMED: MonoTime = MonoTime::from_millis(1_000);
+/// Interval between two heartbeats of one instance.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
+/// Time from an instance's start to its first heartbeat.
+const FIRST_HEARTBEAT: Duration = Duration::from_millis(60);
+/// Time after which an instance that is gone counts as absent.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(1_300);
+/// The longest time that a request takes to arrive.
+const MAX_DELIVERY_MS: u64 = 300;
+/// When the upstream starts to announce its limit, and when it stops.
+const ANNOUNCED: MonoTime = MonoTime::from_millis(1_000);
 const ENDED: MonoTime = MonoTime::from_millis(15_000);
-/// When the instance that gives out permits is lost, and when it is back.
+/// When the instance that issues permits is lost, and when it returns.
 const LOST: MonoTime = MonoTime::from_millis(5_000);
 const BACK: MonoTime = MonoTime::from_millis(7_500);
-/// When a third of the fleet starts anew, knowing nothing.
+/// When a third of the fleet restarts without any knowledge.
 const RESTARTED: MonoTime = MonoTime::from_millis(10_000);
-/// Within which all know of a limit: the users' shortest bound for news.
+/// Time within which all instances must know of a limit: the shortest bound for updates that the
+/// users set.
 const KNOWN_WITHIN: Duration = Duration::from_secs(3);
 const SPAN: Duration = Duration::from_secs(4);
 
@@ -41,7 +43,7 @@
     limits: UpstreamLimits,
     limiter: Option<RateLimiter>,
     ask_from: MonoTime,
-    next_beat: MonoTime,
+    next_heartbeat: MonoTime,
     gone_since: Option<MonoTime>,
 }
 
@@ -49,7 +51,7 @@
     all: Vec<Instance>,
     per_s: f64,
     now: MonoTime,
-    /// Requests on their way to the upstream, and from whom.
+    /// Requests on their way to the upstream, with their arrival times and senders.
     sent: VecDeque<(MonoTime, usize)>,
     arrivals: Vec<MonoTime>,
     rng: Rng,
@@ -61,7 +63,7 @@
             limits: UpstreamLimits::default(),
             limiter: None,
             ask_from: now,
-            next_beat: now + FIRST_BEAT,
+            next_heartbeat: now + FIRST_HEARTBEAT,
             gone_since: None,
         }
     }
@@ -81,19 +83,19 @@
         }
     }
 
-    fn is_there(&self, n: usize) -> bool {
+    fn is_present(&self, n: usize) -> bool {
         self.all[n].gone_since.is_none()
     }
 
-    /// Several times as many requests as the upstream takes, at any instance.
+    /// Sends several times as many requests as the limit allows, from random instances.
     fn requests(&mut self) {
         let expected = (self.per_s * 10.0 + 20.0) * STEP.as_secs_f64();
         let certain = expected as usize;
         let one_more = self.rng.f64() < expected.fract();
         for _ in 0..certain + usize::from(one_more) {
             let n = self.rng.usize(..self.all.len());
-            if self.is_there(n) && self.may_send(n) {
-                let takes = Duration::from_millis(self.rng.u64(1..ON_ITS_WAY_MS));
+            if self.is_present(n) && self.may_send(n) {
+                let takes = Duration::from_millis(self.rng.u64(1..MAX_DELIVERY_MS));
                 self.sent.push_back((self.now + takes, n));
             }
         }
@@ -115,33 +117,33 @@
         }
     }
 
-    /// Asks the first of the fleet that answers, of three.
+    /// Asks the first instance that answers, of the first three of the fleet.
     fn ask(&mut self, n: usize) -> Result<(), Duration> {
         let now = self.now;
-        let passed_over = |i: &Instance| {
+        let is_absent = |i: &Instance| {
             i.gone_since
-                .is_some_and(|since| now.since(since) >= PASSED_OVER)
+                .is_some_and(|since| now.since(since) >= HEARTBEAT_TIMEOUT)
         };
-        let order = (0..self.all.len()).filter(|m| !passed_over(&self.all[*m]));
+        let order = (0..self.all.len()).filter(|m| !is_absent(&self.all[*m]));
         let order: Vec<usize> = order.take(3).collect();
-        let Some(limiter) = order.iter().find(|m| self.is_there(**m)) else {
+        let Some(limiter) = order.iter().find(|m| self.is_present(**m)) else {
             return Err(Duration::from_millis(300));
         };
-        let part = match order.first() == Some(limiter) {
+        let share = match order.first() == Some(limiter) {
             true => LimiterShare::Whole,
             false => LimiterShare::Quarter,
         };
-        self.tell(n, *limiter);
+        self.exchange(n, *limiter);
         let asked = &mut self.all[*limiter];
         let Some(rate) = asked.limits.limit("u") else {
             return Ok(());
         };
         let limiter = asked.limiter.get_or_insert_with(|| RateLimiter::new(now));
-        limiter.acquire(now, rate, part, 1)
+        limiter.acquire(now, rate, share, 1)
     }
 
-    /// What one has heard, the other hears.
-    fn tell(&mut self, from: usize, to: usize) {
+    /// Two instances exchange their notices.
+    fn exchange(&mut self, from: usize, to: usize) {
         if let Some(notice) = self.all[from].limits.notice("u") {
             self.all[to].limits.record("u", notice);
         }
@@ -150,31 +152,31 @@
         }
     }
 
-    fn beats(&mut self) {
+    fn heartbeats(&mut self) {
         let count = self.all.len();
         for n in 0..count {
-            if !self.is_there(n) || self.now < self.all[n].next_beat {
+            if !self.is_present(n) || self.now < self.all[n].next_heartbeat {
                 continue;
             }
-            self.all[n].next_beat = self.now + BEAT_EVERY;
+            self.all[n].next_heartbeat = self.now + HEARTBEAT_INTERVAL;
             let others = [0, 1, (n + 1) % count, (n + 2) % count, (n + 3) % count];
             for other in others {
-                if other != n && other < count && self.is_there(other) {
-                    self.tell(n, other);
+                if other != n && other < count && self.is_present(other) {
+                    self.exchange(n, other);
                 }
             }
         }
     }
 
-    /// What arrives is counted, and its answer tells of the limit.
+    /// Counts the arrivals; each answer carries the limit.
     fn arrive(&mut self) {
         let now = self.now;
         let (arrived, sent): (VecDeque<_>, VecDeque<_>) =
             self.sent.drain(..).partition(|(at, _)| *at <= now);
         self.sent = sent;
 
-        let named = (NAMED..ENDED).contains(&now);
-        let limit = named.then(|| RequestRate::try_from(self.per_s).expect("a rate"));
+        let announced = (ANNOUNCED..ENDED).contains(&now);
+        let limit = announced.then(|| RequestRate::try_from(self.per_s).expect("a rate"));
         for (_, from) in arrived {
             self.arrivals.push(now);
             let notice = LimitNotice {
@@ -186,7 +188,7 @@
         }
     }
 
-    fn trouble(&mut self) {
+    fn inject_faults(&mut self) {
         let now = self.now;
         match now {
             LOST => self.all[0].gone_since = Some(now),
@@ -203,22 +205,22 @@
     fn run_until(&mut self, end: MonoTime) {
         while self.now < end {
             self.now = self.now + STEP;
-            self.trouble();
+            self.inject_faults();
             self.arrive();
-            self.beats();
+            self.heartbeats();
             self.requests();
         }
     }
 }
 
-/// An upstream names a limit. Instances hear of it from its answers and from each other; the
-/// one that gives out permits is lost, and a third of the fleet starts anew. Everything
-/// that arrives counts, also from instances that have not heard yet.
+/// An upstream announces a limit, which instances learn from its answers and from each other.
+/// The instance that issues permits is lost, and a third of the fleet restarts. All arrivals
+/// count, including those from instances that do not know the limit yet.
 #[test_matrix([1, 3, 9, 75, 85, 295, 985], [0.2, 1.0, 2.5, 40.0])]
 fn a_limit_is_kept_and_used_while_instances_come_and_go(instances: usize, per_s: f64) {
     let mut fleet = Fleet::new(instances, per_s);
     fleet.run_until(ENDED);
-    let known = NAMED + KNOWN_WITHIN;
+    let known = ANNOUNCED + KNOWN_WITHIN;
     let counted = fleet.arrivals.iter().filter(|at| **at >= known);
     let counted: Vec<MonoTime> = counted.copied().collect();
     let within = counted.iter().enumerate().map(|(n, end)| {
@@ -229,13 +231,17 @@
     let allowed = (per_s * SPAN.as_secs_f64() * 1.5 + 5.0) as usize;
     assert!(most <= allowed, "{most} in four seconds, {allowed} allowed");
     let takes = per_s * ENDED.since(known).as_secs_f64();
-    // One that is alone is away for two and a half of eleven seconds.
+    // A single instance is absent for two and a half of eleven seconds.
     assert!(
         counted.len() as f64 >= 0.6 * takes - 1.0,
         "{} of {takes}",
         counted.len()
     );
     fleet.run_until(ENDED + Duration::from_secs(8));
-    let unheard = fleet.all.iter().filter(|i| i.limits.limit("u").is_some());
-    assert_eq!(unheard.count(), 0, "all have heard of the end");
+    let uninformed = fleet.all.iter().filter(|i| i.limits.limit("u").is_some());
+    assert_eq!(
+        uninformed.count(),
+        0,
+        "all instances know that the limit ended"
+    );
 }
--- a/crates/serving/tests/mirror.rs
+++ b/crates/serving/tests/mirror.rs
@@ -1,4 +1,4 @@
-//! What an instance that watches the store tells those that follow it.
+//! The updates that an instance sends to its followers.
 
 use bytes::Bytes;
 use jd_serving::StoreItem;
@@ -27,33 +27,33 @@
 }
 
 #[test]
-fn a_follower_is_sent_only_what_it_lacks() {
+fn a_follower_is_sent_only_the_missing_changes() {
     let mut mirror = StoreMirror::default();
     mirror.replace(vec![put("a", 3), put("b", 5)], rev(6));
     mirror.apply(vec![put("a", 8), removed("b", 9)], rev(9));
-    let news = mirror.updates_since(rev(6));
-    assert!(!news.is_full);
-    assert_eq!(news.items, [put("a", 8), removed("b", 9)]);
-    assert_eq!(news.revision, rev(9));
+    let update = mirror.updates_since(rev(6));
+    assert!(!update.is_full);
+    assert_eq!(update.items, [put("a", 8), removed("b", 9)]);
+    assert_eq!(update.revision, rev(9));
     assert_eq!(mirror.updates_since(rev(8)).items, [removed("b", 9)]);
     assert!(mirror.updates_since(rev(9)).items.is_empty());
 }
 
-/// The instance that watches had its history taken away and read everything
-/// again. What was removed in between it cannot tell, so a follower that only
-/// heard of changes would send requests to an upstream that is gone.
+/// The instance that watches the store lost the change history and read everything again. It
+/// cannot tell which records were removed in between, so that a follower that received only
+/// changes would send requests to an upstream that is gone.
 #[test]
-fn a_follower_from_before_a_gap_is_sent_everything() {
+fn a_follower_is_sent_everything_after_a_gap() {
     let mut mirror = StoreMirror::default();
     mirror.replace(vec![put("a", 3), put("b", 5)], rev(6));
     mirror.replace(vec![put("a", 3)], rev(20));
-    let news = mirror.updates_since(rev(6));
-    assert!(news.is_full);
-    assert_eq!(news.items, [put("a", 3)]);
+    let update = mirror.updates_since(rev(6));
+    assert!(update.is_full);
+    assert_eq!(update.items, [put("a", 3)]);
 }
 
 #[test]
-fn removals_are_not_remembered_for_good() {
+fn removals_are_not_kept_forever() {
     let mut mirror = StoreMirror::default();
     mirror.replace(Vec::new(), rev(1));
     for n in 0..2_000 {
@@ -65,9 +65,9 @@
     assert!(!mirror.updates_since(rev(3_900)).is_full);
 }
 
-/// Two ways lead to the same news, and the slower one brings it again.
+/// The same changes arrive twice, by a faster and a slower path.
 #[test]
-fn what_is_known_never_goes_back() {
+fn the_copy_never_goes_back_to_an_earlier_revision() {
     let mut mirror = StoreMirror::default();
     mirror.replace(vec![put("a", 9)], rev(10));
     assert!(!mirror.replace(vec![put("a", 3)], rev(4)));
--- a/crates/serving/tests/news_sources.rs
+++ b/crates/serving/tests/news_sources.rs
@@ -1,4 +1,4 @@
-//! From whom instances hear what the store holds.
+//! The sources from which instances receive store updates.
 
 #![allow(clippy::expect_used, clippy::panic)]
 
@@ -16,7 +16,8 @@
 
 const ZONES: [&str; 5] = ["a", "b", "c", "d", "e"];
 
-/// A fleet over so many zones, three instances of each zone stronger than the others.
+/// A fleet spread over a number of zones, with three instances of each zone stronger than the
+/// others.
 fn fleet(count: u16, zones: usize) -> Vec<InstanceEntry> {
     let entry = |n: u16| {
         let [high, low] = n.to_be_bytes();
@@ -53,35 +54,36 @@
     readers
 }
 
-/// How many steps news takes from the store to an instance; none if in a circle.
-fn steps(sources: &HashMap<Incarnation, UpdateSource>, from: Incarnation) -> Option<usize> {
+/// Number of hops from the store to an instance; `None` if the sources form a cycle.
+fn hops(sources: &HashMap<Incarnation, UpdateSource>, from: Incarnation) -> Option<usize> {
     let mut at = from;
-    for steps in 0..10 {
+    for hops in 0..10 {
         match sources.get(&at)?.instance() {
-            None => return Some(steps),
+            None => return Some(hops),
             Some(id) => at = id,
         }
     }
     None
 }
 
-fn able(_: Incarnation) -> SourceHealth {
+fn all_available(_: Incarnation) -> SourceHealth {
     SourceHealth::Available
 }
 
-/// Two of each zone watched the store, and each change answered each watch: with five
-/// zones ten calls for one change. Two are enough for a fleet of any size.
+/// When two instances of each zone watched the store, each change was sent to each of these
+/// watches: ten calls for one change with five zones. Two readers suffice for a fleet of any
+/// size.
 #[test_case(20, 1)]
 #[test_case(75, 3)]
 #[test_case(295, 5)]
 #[test_case(1_100, 5)]
-fn two_read_the_store_for_the_whole_fleet(count: u16, zones: usize) {
+fn two_instances_read_the_store_for_the_whole_fleet(count: u16, zones: usize) {
     let all = fleet(count, zones);
-    let sources = sources(&all, able);
+    let sources = sources(&all, all_available);
     assert_eq!(readers(&sources).len(), 2);
     for entry in &all {
-        let steps = steps(&sources, entry.incarnation);
-        assert!(steps.is_some_and(|s| s <= 2), "{steps:?}");
+        let hops = hops(&sources, entry.incarnation);
+        assert!(hops.is_some_and(|s| s <= 2), "{hops:?}");
     }
     let mut followers: HashMap<Incarnation, u16> = HashMap::new();
     for source in sources.values() {
@@ -94,29 +96,29 @@
     assert!(most <= of_zone * 7 / 10 + 10, "{most} of {of_zone}");
 }
 
-/// The store turns the two that read it away and serves the others. The next two take
-/// their place, and nobody hears from those that hear nothing.
+/// The store rejects its two readers and serves the others. The next two candidates replace
+/// them, and no instance follows one that receives no updates.
 #[test]
-fn readers_that_the_store_turns_away_are_replaced() {
+fn readers_that_the_store_rejects_are_replaced() {
     let all = fleet(295, 5);
-    let first = readers(&sources(&all, able));
-    let lost = |id| match first.contains(&id) {
+    let first = readers(&sources(&all, all_available));
+    let health = |id| match first.contains(&id) {
         true => SourceHealth::StoreUnavailable,
         false => SourceHealth::Available,
     };
-    let after = sources(&all, lost);
+    let after = sources(&all, health);
     let next = readers(&after);
     assert_eq!(next.len(), 2);
     assert!(next.iter().all(|id| !first.contains(id)));
-    assert!(all.iter().all(|e| steps(&after, e.incarnation).is_some()));
+    assert!(all.iter().all(|e| hops(&after, e.incarnation).is_some()));
 }
 
-/// The two that relay in a zone are silent: both lost power. Their zone hears from the
-/// next two, and no other zone is touched.
+/// Both relays of a zone have lost power. The instances of the zone follow the next two
+/// candidates, and other zones are not affected.
 #[test]
-fn relays_that_are_silent_are_replaced_in_their_zone() {
+fn unresponsive_relays_are_replaced_in_their_zone() {
     let all = fleet(295, 5);
-    let before = sources(&all, able);
+    let before = sources(&all, all_available);
     let zone_a = |e: &&InstanceEntry| e.zone.as_str() == "a";
     let plain = all.iter().filter(zone_a);
     let mut relays: Vec<Incarnation> = plain
@@ -126,11 +128,11 @@
     relays.sort_unstable();
     relays.dedup();
     assert_eq!(relays.len(), 2);
-    let lost = |id| match relays.contains(&id) {
+    let health = |id| match relays.contains(&id) {
         true => SourceHealth::Unresponsive,
         false => SourceHealth::Available,
     };
-    let after = sources(&all, lost);
+    let after = sources(&all, health);
     let others = all.iter().filter(|e| !zone_a(e));
     for entry in others.filter(|e| !relays.contains(&e.incarnation)) {
         let source = before[&entry.incarnation].instance();
@@ -146,44 +148,43 @@
     }
 }
 
-/// The store is away for all. Each of 295 asked it by itself until it was back. Now
-/// those that may read or relay ask, and the others take their word.
+/// The store is unavailable to all instances. Each of 295 instances queried it on its own until it
+/// was back; now only the candidates for readers and relays do.
 #[test]
-fn while_the_store_is_away_a_few_ask_for_all() {
+fn while_the_store_is_unavailable_a_few_instances_query_it() {
     let all = fleet(295, 5);
     let sources = sources(&all, |_| SourceHealth::StoreUnavailable);
     let asking = readers(&sources).len();
-    assert!((2..=24).contains(&asking), "{asking} ask the store");
+    assert!((2..=24).contains(&asking), "{asking} query the store");
 }
 
-/// No other answers: this instance is cut off from them and not from the store.
+/// No other instance answers: this instance is cut off from them but not from the store.
 #[test]
-fn an_instance_that_nobody_answers_reads_the_store() {
+fn an_instance_without_responsive_peers_reads_the_store() {
     let all = fleet(295, 5);
     let sources = sources(&all, |_| SourceHealth::Unresponsive);
     assert_eq!(readers(&sources).len(), all.len());
 }
 
-/// The store turns away the instance that a zone follows and serves the others.
-/// They went on asking it, and sent requests to an upstream that had left for
-/// three seconds.
+/// The store rejects the instance that a zone follows and serves the others. The zone continued
+/// to follow it, and sent requests for three seconds to an upstream that had left.
 #[test]
 fn an_instance_that_has_lost_the_store_is_not_followed() {
     let all = fleet(40, 1);
-    let before = sources(&all, able);
-    // A weak one: no candidate itself.
+    let before = sources(&all, all_available);
+    // A weak instance, which is no candidate itself.
     let me = all[39].incarnation;
-    let first = before[&me].instance().expect("one that is followed");
-    let lost = |id| match id == first {
+    let first = before[&me].instance().expect("a followed instance");
+    let health = |id| match id == first {
         true => SourceHealth::StoreUnavailable,
         false => SourceHealth::Available,
     };
-    let after = sources(&all, lost)[&me];
+    let after = sources(&all, health)[&me];
     assert!(after.instance().is_some_and(|id| id != first), "{after:?}");
 }
 
 #[test]
-fn of_a_few_instances_each_watches_the_store() {
-    let sources = sources(&fleet(9, 3), able);
+fn in_a_small_fleet_every_instance_watches_the_store() {
+    let sources = sources(&fleet(9, 3), all_available);
     assert_eq!(readers(&sources).len(), 9);
 }
--- a/crates/serving/tests/quarantine_list.rs
+++ b/crates/serving/tests/quarantine_list.rs
@@ -1,4 +1,4 @@
-//! What is held against requests, for how long, and who is heard of it.
+//! How quarantine entries are recorded, merged and expired.
 
 #![allow(clippy::expect_used)]
 
@@ -13,7 +13,7 @@
 use jd_serving::RecentRuns;
 use jd_types::MonoTime;
 
-/// A request that ends upstreams, and another.
+/// A request that crashes upstreams, and another.
 const BAD: u64 = 1;
 const OTHER: u64 = 2;
 
@@ -21,7 +21,7 @@
     MonoTime::ZERO + Duration::from_millis(ms)
 }
 
-fn good(service: &str, content: u64, ms: u64) -> CompletedRun {
+fn completed(service: &str, content: u64, ms: u64) -> CompletedRun {
     CompletedRun {
         service: service.into(),
         content: Content::from_number(content),
@@ -29,7 +29,7 @@
     }
 }
 
-/// Three ends, the last of them at that time.
+/// A finding with three crashes, the last of them at this time.
 fn finding(content: u64, last: u64) -> Finding {
     Finding {
         content: Content::from_number(content),
@@ -39,15 +39,15 @@
     }
 }
 
-/// A quarantine has lapsed, and the ends that it was for are still known. Some other
-/// upstream ended, all was looked at again, and the request was held for ten minutes more
-/// though nobody had sent it.
+/// A quarantine has expired, and the crashes behind it are still known. When another upstream
+/// crashed and all evidence was evaluated again, the request was quarantined for ten more
+/// minutes although nobody had sent it.
 #[test]
-fn a_quarantine_that_has_lapsed_is_not_renewed_for_the_same_ends() {
+fn an_expired_quarantine_is_not_renewed_for_the_same_crashes() {
     let mut list = QuarantineList::default();
     let found = finding(BAD, 10_000);
     let next = list.next_state(at(11_000), &found, QuarantinePhase::Quarantined);
-    let next = next.expect("it is held");
+    let next = next.expect("a new state");
     list.merge(at(11_000), found.content, next, Duration::from_secs(600));
     let later = at(620_000);
     let renewed = list.next_state(later, &found, QuarantinePhase::Quarantined);
@@ -60,10 +60,11 @@
     );
 }
 
-/// An operator releases a request whose ends are still known. It was held again at the next
-/// look, a quarter of a second later; now only an end after the release holds it again.
+/// An operator releases a request whose crashes are still known. It was quarantined again at
+/// the next evaluation, a quarter of a second later; only a crash after the release may
+/// quarantine it again.
 #[test]
-fn what_an_operator_has_released_is_not_held_for_the_ends_before() {
+fn a_released_request_is_not_quarantined_for_earlier_crashes() {
     let mut list = QuarantineList::default();
     let found = finding(OTHER, 10_000);
     let left = Duration::from_secs(500);
@@ -76,10 +77,10 @@
     assert_eq!(held.map(|s| s.round), Some(2));
 }
 
-/// A phase comes by the store and by instances, in any order and more than once. All
-/// come to hold the same, and nobody goes back to what was taken back.
+/// States arrive from the store and from instances, in any order and more than once. All
+/// instances converge to the same state, and a release is not undone.
 #[test]
-fn a_release_goes_before_the_quarantine_that_arrives_after_it() {
+fn a_release_is_not_undone_by_a_late_quarantine() {
     let content = Content::from_number(OTHER);
     let mut list = QuarantineList::default();
     let left = Duration::from_secs(600);
@@ -98,10 +99,10 @@
     assert_eq!(list.get(at(6), content).map(|h| h.state), Some(again));
 }
 
-/// The store's changes were lost, and with them that it gave a phase up. Read whole it is
-/// found not to have it, so that it is written again.
+/// The store's change history was lost, including the removal of an entry. A full read finds
+/// that the store lacks the entry, so that it is written again.
 #[test]
-fn what_the_store_gave_up_unseen_is_known_to_be_missing() {
+fn entries_that_the_store_dropped_unnoticed_are_known_to_be_missing() {
     let [kept, gone] = [BAD, OTHER].map(Content::from_number);
     let mut list = QuarantineList::default();
     let quarantined = QuarantineState::first(QuarantinePhase::Quarantined);
@@ -114,9 +115,9 @@
     assert_eq!((stored(kept), stored(gone)), (Some(quarantined), None));
 }
 
-/// What is held lapses, and no message can make it last longer than all others.
+/// Entries expire, and no message can extend an entry beyond the usual lifetime.
 #[test]
-fn what_is_held_lapses() {
+fn a_quarantine_expires() {
     let content = Content::from_number(BAD);
     let mut list = QuarantineList::default();
     let quarantined = QuarantineState::first(QuarantinePhase::Quarantined);
@@ -125,9 +126,9 @@
     assert_eq!(list.quarantine_remaining(at(600_001), content), None);
 }
 
-/// Suspicions come by the thousand; what is quarantined is not pushed out by them.
+/// Thousands of suspicions do not evict a quarantine.
 #[test]
-fn suspicions_do_not_push_a_quarantine_out() {
+fn suspicions_do_not_evict_a_quarantine() {
     let content = Content::from_number(BAD);
     let mut list = QuarantineList::default();
     let left = Duration::from_secs(600);
@@ -150,13 +151,16 @@
     assert!(list.entries(at(10_000)).count() <= 128);
 }
 
-/// An instance remembers what ran well lately, and not for ever.
+/// Completed runs are remembered for a limited time.
 #[test]
-fn a_run_that_ended_well_speaks_for_half_a_minute() {
+fn a_completed_run_is_remembered_for_half_a_minute() {
     let mut recent = RecentRuns::default();
     let content = Content::from_number(OTHER);
     recent.note(at(1_000), "pool", content);
-    assert_eq!(recent.of(at(20_000), content), [good("pool", OTHER, 1_000)]);
+    assert_eq!(
+        recent.of(at(20_000), content),
+        [completed("pool", OTHER, 1_000)]
+    );
     assert!(recent.of(at(32_000), content).is_empty());
     let bad = Content::from_number(BAD);
     assert!(recent.of(at(2_000), bad).is_empty());
--- a/crates/serving/tests/rate_limiter.rs
+++ b/crates/serving/tests/rate_limiter.rs
@@ -1,4 +1,4 @@
-//! Permits to send to upstreams that name a limit, in virtual time.
+//! Permits for rate-limited upstreams, in virtual time.
 
 #![allow(clippy::expect_used, clippy::panic)]
 
@@ -11,18 +11,18 @@
 use jd_types::MonoTime;
 use test_case::test_matrix;
 
-/// The span over which arrivals are counted.
+/// The window over which arrivals are counted.
 const SPAN: Duration = Duration::from_secs(4);
-/// How long instances ask.
+/// How long instances ask for permits.
 const LOAD: Duration = Duration::from_secs(40);
-/// The longest that a permitted request is on its way.
-const ON_ITS_WAY_MS: u64 = 300;
+/// The longest time that a permitted request takes to arrive.
+const MAX_DELIVERY_MS: u64 = 300;
 
 fn rate(per_s: f64) -> RequestRate {
     RequestRate::try_from(per_s).expect("a rate")
 }
 
-/// The most arrivals in any four seconds.
+/// The largest number of arrivals within four seconds.
 fn most(arrivals: &mut [MonoTime]) -> usize {
     arrivals.sort_unstable();
     let ends = arrivals.iter().enumerate();
@@ -33,19 +33,19 @@
     within.max().unwrap_or(0)
 }
 
-/// Half as much again as an upstream takes in four seconds, and five.
+/// One and a half times the limit for four seconds, and five.
 fn allowed(per_s: f64) -> usize {
     (per_s * SPAN.as_secs_f64() * 1.5 + 5.0) as usize
 }
 
-/// One instance and what it does when.
+/// An instance and the time of its next request for a permit.
 struct Instance {
     asks_at: MonoTime,
 }
 
-/// Has so many instances ask for permits, each again once its turn comes or at most half
-/// a second later; when what was permitted arrives.
-fn play(
+/// Lets a number of instances ask for permits, each again after the wait it was given or at
+/// most half a second later. Returns the arrival times of the permitted requests.
+fn run(
     instances: usize,
     per_s: f64,
     limiters: &mut [(RateLimiter, LimiterShare)],
@@ -65,10 +65,10 @@
                 continue;
             }
             let count = limiters.len();
-            let (limiter, part) = &mut limiters[n % count];
-            let again = match limiter.acquire(now, rate(per_s), *part, 1) {
+            let (limiter, share) = &mut limiters[n % count];
+            let again = match limiter.acquire(now, rate(per_s), *share, 1) {
                 Ok(()) => {
-                    arrivals.push(now + jitter(rng, ON_ITS_WAY_MS));
+                    arrivals.push(now + jitter(rng, MAX_DELIVERY_MS));
                     Duration::ZERO
                 }
                 Err(wait) => wait.min(Duration::from_millis(500)),
@@ -80,31 +80,32 @@
     arrivals
 }
 
-/// Every instance asks as often as it may. The upstream gets no more than it takes, and
-/// not far less.
+/// Every instance asks as often as it may. The upstream receives no more requests than its
+/// limit allows, and not far fewer.
 #[test_matrix([1, 3, 9, 75, 85, 295, 985], [0.2, 1.0, 2.5, 40.0])]
-fn an_upstream_gets_what_it_takes_from_any_number_of_instances(instances: usize, per_s: f64) {
+fn any_number_of_instances_keeps_to_the_limit_and_uses_it(instances: usize, per_s: f64) {
     let mut rng = Rng::with_seed(7);
     let mut limiter = [(RateLimiter::new(MonoTime::ZERO), LimiterShare::Whole)];
-    let mut arrivals = play(instances, per_s, &mut limiter, &mut rng);
+    let mut arrivals = run(instances, per_s, &mut limiter, &mut rng);
     let used = arrivals.len() as f64 / (per_s * LOAD.as_secs_f64());
     assert!(
         most(&mut arrivals) <= allowed(per_s),
         "{}",
         most(&mut arrivals)
     );
-    // A single instance waits for its turn and a moment more.
-    assert!(used >= 0.8, "{used} of what it takes");
+    // A single instance waits slightly longer than it was told to.
+    assert!(used >= 0.8, "{used} of the limit");
 }
 
-/// Half of the fleet does not hear the other half, and each half asks an instance of its
-/// own. Only one of these two is the first of all, so that the other gives out a quarter.
+/// The two halves of a fleet cannot reach each other, and each half asks an instance of its
+/// own. Only one of these is the first choice of the whole fleet, so that the other issues a
+/// quarter.
 #[test_matrix([9, 85, 295], [0.2, 1.0, 2.5, 40.0])]
-fn two_halves_that_do_not_hear_each_other_keep_to_the_bound(instances: usize, per_s: f64) {
+fn a_partitioned_fleet_keeps_to_the_limit(instances: usize, per_s: f64) {
     let mut rng = Rng::with_seed(11);
     let mut limiters = [LimiterShare::Whole, LimiterShare::Quarter]
-        .map(|part| (RateLimiter::new(MonoTime::ZERO), part));
-    let mut arrivals = play(instances, per_s, &mut limiters, &mut rng);
+        .map(|share| (RateLimiter::new(MonoTime::ZERO), share));
+    let mut arrivals = run(instances, per_s, &mut limiters, &mut rng);
     assert!(
         most(&mut arrivals) <= allowed(per_s),
         "{}",
@@ -112,10 +113,10 @@
     );
 }
 
-/// An instance that has just become the one to ask must not give out what the one before
-/// it gave out a moment ago.
+/// An instance that has just started to issue permits must not repeat permits that its
+/// predecessor issued a moment ago.
 #[test]
-fn nothing_is_saved_up_at_the_start() {
+fn the_limiter_starts_without_tokens() {
     let mut limiter = RateLimiter::new(MonoTime::ZERO);
     let ask = |limiter: &mut RateLimiter, ms| {
         limiter.acquire(MonoTime::from_millis(ms), rate(1.0), LimiterShare::Whole, 1)
@@ -124,10 +125,10 @@
     assert_eq!(ask(&mut limiter, 1_000), Ok(()));
 }
 
-/// A limiter stands still for a minute, as a machine that is suspended. What would have
-/// been given out meanwhile is lost.
+/// A limiter is not used for a minute, as on a suspended machine. The permits of that time are
+/// lost.
 #[test]
-fn little_is_saved_up_while_nobody_asks() {
+fn the_burst_after_an_idle_time_is_bounded() {
     let mut limiter = RateLimiter::new(MonoTime::ZERO);
     let now = MonoTime::from_millis(60_000);
     let granted = (0..100).filter(|_| {
@@ -137,9 +138,9 @@
     assert_eq!(granted.count(), 2);
 }
 
-/// Those who are turned away at one moment are told to come back one after the other.
+/// Instances that are refused at the same time are told to retry one after the other.
 #[test]
-fn turns_are_spread() {
+fn refused_requests_get_different_waits() {
     let mut limiter = RateLimiter::new(MonoTime::ZERO);
     let turns = (0..5).map(|_| limiter.acquire(MonoTime::ZERO, rate(2.0), LimiterShare::Whole, 1));
     let turns: Vec<u128> = turns
@@ -149,10 +150,10 @@
     assert_eq!(turns, [500, 1_000, 1_500, 2_000, 2_500]);
 }
 
-/// Many requests of two priorities. The more urgent ones get most of what there is, and
+/// There are many requests of two priorities. The more urgent ones get most of the permits, and
 /// the less urgent ones are not starved.
 #[test]
-fn urgent_requests_come_first_and_the_others_have_their_turn() {
+fn urgent_requests_come_first_without_starving_others() {
     let mut limiter = RateLimiter::new(MonoTime::ZERO);
     let mut granted = [0_u32; 2];
     for step in 0..4_000 {
@@ -167,9 +168,9 @@
     assert!(urgent >= 2 * other && other * 8 >= urgent, "{granted:?}");
 }
 
-/// A limit of nothing, and one beyond all bounds.
+/// A limit of zero, and an unbounded one.
 #[test_matrix([0.0, 1e300])]
-fn any_rate_has_a_turn(per_s: f64) {
+fn every_rate_issues_permits_eventually(per_s: f64) {
     let mut limiter = RateLimiter::new(MonoTime::ZERO);
     let first = limiter.acquire(MonoTime::ZERO, rate(per_s), LimiterShare::Quarter, 1);
     let wait = first.err().unwrap_or_default();
--- a/crates/serving/tests/requests.rs
+++ b/crates/serving/tests/requests.rs
@@ -1,4 +1,4 @@
-//! Where a request belongs, and what of its answer may be passed on.
+//! Routing of requests, splitting of event streams and placement of prompts.
 
 #![allow(clippy::expect_used, clippy::panic)]
 
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_split_route_keeps_its_parts_and_its_sessions() {
+fn a_split_route_keeps_its_weights_and_its_sessions() {
     let mut split = route("split", "/a/", false);
     let target = |service: &str, weight| Target {
         service: service.into(),
@@ -91,15 +91,15 @@
     assert_eq!(split.target(77), split.target(77));
 }
 
-/// An upstream stops in the middle of an event. Passed on, the torn half and
-/// the whole event from the next upstream would be one event of both.
+/// An upstream stops in the middle of an event. If the partial event were forwarded, it would
+/// be joined with the complete event from the next upstream.
 #[test]
-fn only_whole_events_are_passed_on() {
+fn only_complete_events_are_forwarded() {
     let mut splitter = EventSplitter::default();
     assert_eq!(splitter.push(b"id: 1\nda"), None);
-    let whole = splitter.push(b"ta: x\n\nid: 2\ndata: y\n\nid: 3\nda");
+    let complete = splitter.push(b"ta: x\n\nid: 2\ndata: y\n\nid: 3\nda");
     assert_eq!(
-        whole.as_deref(),
+        complete.as_deref(),
         Some(&b"id: 1\ndata: x\n\nid: 2\ndata: y\n\n"[..])
     );
     assert_eq!(splitter.last_event(), Some(2));
@@ -108,14 +108,14 @@
 }
 
 #[test]
-fn bytes_one_by_one_make_the_same_events() {
+fn single_bytes_yield_the_same_events() {
     let text = b"id: 9\ndata: x\n\nid: 10\ndata: y\n\n";
     let mut splitter = EventSplitter::default();
-    let mut whole = Vec::new();
+    let mut complete = Vec::new();
     for byte in text {
-        whole.extend(splitter.push(&[*byte]).unwrap_or_default());
+        complete.extend(splitter.push(&[*byte]).unwrap_or_default());
     }
-    assert_eq!(whole, text);
+    assert_eq!(complete, text);
     assert_eq!(splitter.last_event(), Some(10));
 }
 
@@ -128,23 +128,23 @@
     (1..=count).map(one).collect()
 }
 
-/// Five thousand shared tokens are read again when a session moves. All
-/// instances must find the same upstream without telling each other, in
-/// whatever order they learned of them.
+/// When a session moves, five thousand shared tokens are processed again. All instances must
+/// choose the same upstream without communication, in whatever order they learned of the
+/// upstreams.
 #[test]
 fn a_session_stays_at_its_upstream() {
     let all = upstreams(18);
-    let mut turned = all.clone();
-    turned.reverse();
+    let mut reversed = all.clone();
+    reversed.reverse();
     for session in 0..200 {
         let a = place_prompt(session, &all, 64, 8)[0];
-        let b = place_prompt(session, &turned, 64, 8)[0];
-        assert_eq!(all[a].address, turned[b].address);
+        let b = place_prompt(session, &reversed, 64, 8)[0];
+        assert_eq!(all[a].address, reversed[b].address);
     }
 }
 
 #[test]
-fn the_end_of_an_upstream_moves_only_its_sessions() {
+fn the_loss_of_an_upstream_moves_only_its_sessions() {
     let all = upstreams(18);
     let mut less = all.clone();
     less[5].usable = false;
@@ -156,8 +156,8 @@
     }
 }
 
-/// One session gets much of the traffic. It spreads to its second and third
-/// choice once its upstream has its part of this instance's requests.
+/// One session receives much of the traffic. It spreads to its second and third choice once its
+/// upstream has its share of this instance's requests.
 #[test]
 fn a_popular_session_spreads_to_the_same_next_choices() {
     let mut all = upstreams(18);
@@ -168,10 +168,10 @@
     assert_eq!(next[17], order[0]);
 }
 
-/// The last part is the request's own. Placed by it, every request of a session
-/// went somewhere else, and a thousand thousand shared tokens were read again.
+/// The last part belongs to the request alone. When prompts were placed by it, every request of
+/// a session went to another upstream, and a million shared tokens were processed again.
 #[test]
-fn requests_of_one_session_have_it_in_common() {
+fn requests_with_the_same_shared_part_have_the_same_session() {
     let prompt = |own| Prompt {
         model: "m".into(),
         parts: [11, 22, own]
--- a/crates/serving/tests/upstream_limits.rs
+++ b/crates/serving/tests/upstream_limits.rs
@@ -1,4 +1,4 @@
-//! Limits that upstreams name, as instances hear of them.
+//! Limits that upstreams announce, and their exchange between instances.
 
 #![allow(clippy::expect_used, clippy::panic)]
 
@@ -19,7 +19,7 @@
     RequestRate::try_from(per_s).expect("a rate")
 }
 
-fn heard(ms: u64, limit: Option<f64>) -> LimitNotice {
+fn received(ms: u64, limit: Option<f64>) -> LimitNotice {
     LimitNotice {
         start: UpstreamStart::UNKNOWN,
         limit: limit.map(rate),
@@ -35,77 +35,79 @@
     limits.limit("u").map(RequestRate::per_s)
 }
 
-#[test_case(&[heard(0, Some(2.0)), heard(900, Some(5.0))], Some(5.0); "it rises")]
-#[test_case(&[heard(0, Some(2.0)), heard(10, Some(1.0))], Some(1.0); "it falls")]
-#[test_case(&[heard(0, Some(2.0)), heard(900, None)], None; "it goes")]
-#[test_case(&[heard(0, Some(2.0)), heard(900, None), heard(950, Some(3.0))], Some(3.0); "it comes back")]
-#[test_case(&[heard(0, Some(2.0)), heard(20, None)], Some(2.0); "an answer without it crossed one with it")]
-#[test_case(&[heard(20, None), heard(0, Some(2.0))], Some(2.0); "crossed, heard the other way round")]
-#[test_case(&[heard(0, Some(1.0)), heard(30, Some(4.0))], Some(1.0); "two that crossed")]
-#[test_case(&[heard(900, Some(4.0)), heard(0, Some(1.0))], Some(4.0); "old news arrives late")]
-#[test_case(&[heard(0, Some(1.0)), heard(400, Some(1.0)), heard(700, None)], Some(1.0); "named again shortly before")]
-fn the_limit_that_counts(notices: &[LimitNotice], expected: Option<f64>) {
+#[test_case(&[received(0, Some(2.0)), received(900, Some(5.0))], Some(5.0); "the limit rises")]
+#[test_case(&[received(0, Some(2.0)), received(10, Some(1.0))], Some(1.0); "the limit falls")]
+#[test_case(&[received(0, Some(2.0)), received(900, None)], None; "the limit ends")]
+#[test_case(&[received(0, Some(2.0)), received(900, None), received(950, Some(3.0))], Some(3.0); "the limit returns")]
+#[test_case(&[received(0, Some(2.0)), received(20, None)], Some(2.0); "an answer without a limit soon after one with it")]
+#[test_case(&[received(20, None), received(0, Some(2.0))], Some(2.0); "the same answers in reverse order")]
+#[test_case(&[received(0, Some(1.0)), received(30, Some(4.0))], Some(1.0); "two limits that may be out of order")]
+#[test_case(&[received(900, Some(4.0)), received(0, Some(1.0))], Some(4.0); "an old answer arrives late")]
+#[test_case(&[received(0, Some(1.0)), received(400, Some(1.0)), received(700, None)], Some(1.0); "a limit renewed shortly before")]
+fn the_limit_in_force(notices: &[LimitNotice], expected: Option<f64>) {
     assert_eq!(after(notices), expected);
 }
 
-/// Guards against a limit of an earlier start that outlives it.
+/// A limit of an earlier start does not outlive that start.
 #[test]
 fn a_limit_ends_with_its_start() {
     let start = UpstreamStart::at_millis;
     let named = LimitNotice {
         start: start(5),
-        ..heard(0, Some(1.0))
+        ..received(0, Some(1.0))
     };
     let mut limits = UpstreamLimits::default();
     limits.record("u", named);
     let again = LimitNotice {
         start: start(9),
-        ..heard(1, None)
+        ..received(1, None)
     };
     let change = limits.record("u", again);
+    assert_eq!(change, None, "a start without a limit has no limit to end");
+    assert_eq!(limits.limit("u"), None);
     assert_eq!(
-        change, None,
-        "a start that named nothing has nothing to end"
+        limits.record("u", named),
+        None,
+        "a notice of the earlier start"
     );
     assert_eq!(limits.limit("u"), None);
-    assert_eq!(limits.record("u", named), None, "news of the earlier start");
-    assert_eq!(limits.limit("u"), None);
 
     limits.record("v", named);
     limits.remove_gone(at(10), |_| Some(start(9)));
     assert_eq!(limits.limit("v"), None);
 }
 
-/// Guards against a limit that is forgotten while it holds: entries lapse while the store
-/// is away, and come back.
+/// Guards against dropping a limit that is still in force: entries expire during an outage of
+/// the store and return.
 #[test]
-fn a_limit_outlives_a_lapse_of_its_entry() {
+fn a_limit_outlives_the_expiry_of_its_entry() {
     let mut limits = UpstreamLimits::default();
-    limits.record("u", heard(0, Some(1.0)));
+    limits.record("u", received(0, Some(1.0)));
     limits.remove_gone(at(20_000), |_| None);
     assert_eq!(limits.limit("u"), Some(rate(1.0)));
     limits.remove_gone(at(61_000), |_| None);
     assert!(limits.is_empty());
 }
 
-/// Guards against news that two instances tell each other for good, each a little later.
+/// Guards against two instances that send a notice back and forth forever, each time with a
+/// slightly later time.
 #[test]
-fn what_was_heard_is_not_heard_again_by_being_passed_on() {
+fn forwarding_a_notice_does_not_renew_it() {
     let mut limits = UpstreamLimits::default();
-    limits.record("u", heard(0, Some(1.0)));
+    limits.record("u", received(0, Some(1.0)));
     for beat in 1..100 {
-        limits.record("u", heard(beat * 3 % 50, Some(1.0)));
+        limits.record("u", received(beat * 3 % 50, Some(1.0)));
     }
     assert_eq!(limits.notice("u").map(|n| n.received_at), Some(at(0)));
 }
 
 #[test]
-fn others_are_told_of_limits_and_of_their_end() {
+fn limits_and_their_ends_are_announced() {
     let mut limits = UpstreamLimits::default();
-    limits.record("u", heard(0, Some(1.0)));
-    limits.record("u", heard(1_000, None));
-    limits.record("v", heard(0, Some(1.0)));
-    limits.record("w", heard(0, None));
+    limits.record("u", received(0, Some(1.0)));
+    limits.record("u", received(1_000, None));
+    limits.record("v", received(0, Some(1.0)));
+    limits.record("w", received(0, None));
     assert_eq!(limits.announced(at(2_000)).count(), 2);
     let later = at(1_000) + Duration::from_secs(30);
     assert_eq!(limits.announced(later).count(), 1);
