--- a/crates/serving/src/bootstrap_sources.rs
+++ b/crates/serving/src/bootstrap_sources.rs
@@ -14,7 +14,7 @@
 /// The size of a sample of one in sixteen instances from which the fleet counts as large. In a
 /// smaller fleet every instance may read the complete list.
 const MIN_LARGE_SAMPLE: usize = 12;
-/// Sources that are queried in next_index: one may be gone, and two share the load.
+/// Sources that are queried in turn: one may be gone, and two share the load.
 const ACTIVE_SOURCES: usize = 2;
 /// Time for which a weak instance leaves reading the store to stronger ones: longer than a
 /// strong instance takes to read everything.
@@ -62,7 +62,7 @@
         })
     }
 
-    /// The source to query next; `None` if none is remaining.
+    /// The source to query next; `None` if none is left.
     pub fn next_source(&mut self) -> Option<SocketAddr> {
         let active = self.remaining.len().min(ACTIVE_SOURCES);
         let n = self.next_index.checked_rem(active)?;
--- a/crates/serving/src/instance_directory.rs
+++ b/crates/serving/src/instance_directory.rs
@@ -134,7 +134,7 @@
             _ => {}
         }
         if let Some(other) = other {
-            self.forget(other);
+            self.remove(other);
         }
         self.unlisted.remove(&entry.incarnation);
         let known = self.known.entry(entry.incarnation).or_insert(Instance {
@@ -189,7 +189,7 @@
         }
     }
 
-    /// It answered a heartbeat.
+    /// Records that an instance answered a heartbeat.
     pub fn record_heartbeat(&mut self, now: MonoTime, id: Incarnation, heartbeat: Heartbeat) {
         if let Some(known) = self.known.get_mut(&id) {
             known.last_reply = now;
@@ -205,7 +205,7 @@
     /// Without this, a restarted instance receives no work until its entry arrives: after a
     /// restart of the whole fleet, the instances did not use each other for up to a second.
     pub fn record_restart(&mut self, now: MonoTime, earlier: Incarnation, later: Incarnation) {
-        if let Some(mut known) = self.forget(earlier)
+        if let Some(mut known) = self.remove(earlier)
             && !self.known.contains_key(&later)
         {
             known.entry.incarnation = later;
@@ -309,7 +309,7 @@
         let expired = self.unlisted.iter().filter(expired).copied();
         let expired: Vec<Incarnation> = expired.collect();
         for id in expired {
-            self.forget(id);
+            self.remove(id);
         }
     }
 
@@ -389,7 +389,7 @@
         self.known.insert(id, known);
     }
 
-    fn forget(&mut self, id: Incarnation) -> Option<Instance> {
+    fn remove(&mut self, id: Incarnation) -> Option<Instance> {
         self.unlisted.remove(&id);
         let known = self.known.remove(&id)?;
         if self.by_address.get(&known.entry.peer_address) == Some(&id) {
--- a/crates/serving/src/rate_limiter.rs
+++ b/crates/serving/src/rate_limiter.rs
@@ -85,8 +85,8 @@
         Ok(())
     }
 
-    /// True if the permit is left for a more urgent request that was refused recently and is
-    /// expected to retry.
+    /// True if the permit is reserved for a more urgent request that was refused recently and
+    /// is expected to retry.
     fn defers(&self, now: MonoTime, priority: u8) -> bool {
         let urgent = |(p, at): (u8, MonoTime)| p < priority && now.since(at) < URGENT_WINDOW;
         self.urgent_refusal.is_some_and(urgent) && self.urgent_in_a_row < MAX_URGENT_IN_A_ROW
--- a/crates/serving/src/update_source.rs
+++ b/crates/serving/src/update_source.rs
@@ -41,7 +41,7 @@
     }
 }
 
-/// The recent health of an instance as an update source.
+/// The recent state of an instance as an update source.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SourceHealth {
     /// No failure is known.
--- a/crates/serving/src/upstream_directory.rs
+++ b/crates/serving/src/upstream_directory.rs
@@ -17,7 +17,7 @@
 
 /// Time after the store becomes available again in which an expired entry may still return. The
 /// platform rewrites entries of live upstreams within two seconds.
-const LAPSE_GRACE: Duration = Duration::from_secs(2);
+const RETURN_GRACE: Duration = Duration::from_secs(2);
 
 /// The description that an upstream publishes of itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -65,7 +65,7 @@
     /// Number of known upstreams whose start is known.
     with_start: usize,
     /// Number of known upstreams whose entries expired with the store.
-    lapsed: usize,
+    expired: usize,
     departures: Departures,
     store_unavailable: bool,
     store_back_at: Option<MonoTime>,
@@ -75,7 +75,7 @@
 #[derive(Debug)]
 struct KnownUpstream {
     entry: UpstreamEntry,
-    lapsed: bool,
+    expired: bool,
     cold_until: MonoTime,
 }
 
@@ -132,12 +132,12 @@
         }
         let leaving = entry.leaving || self.departures.is_leaving(&id, start);
         let entry = UpstreamEntry { leaving, ..entry };
-        if known.is_some_and(|k| k.entry == entry && !k.lapsed) {
+        if known.is_some_and(|k| k.entry == entry && !k.expired) {
             return false;
         }
         let known = KnownUpstream {
             cold_until: now + entry.cold_left,
-            lapsed: false,
+            expired: false,
             entry,
         };
         self.insert(id, known);
@@ -187,7 +187,7 @@
     /// a missing upstream it does not count as expired with the store, because there is an
     /// entry and it is not the upstream's own.
     pub fn discard(&mut self, id: &str) -> bool {
-        self.forget(id)
+        self.remove_known(id)
     }
 
     /// Records that an entry is missing; returns true if anything changed. An upstream that
@@ -197,15 +197,15 @@
         match self.known.get_mut(id) {
             None => false,
             Some(known) if may_return && !known.entry.leaving => {
-                let was_there = !std::mem::replace(&mut known.lapsed, true);
-                self.lapsed += usize::from(was_there);
+                let newly_expired = !std::mem::replace(&mut known.expired, true);
+                self.expired += usize::from(newly_expired);
                 false
             }
             Some(known) => {
                 let start = known.entry.start;
                 self.departures
                     .record(now, id, start, DepartureSource::Entry);
-                self.forget(id)
+                self.remove_known(id)
             }
         }
     }
@@ -242,14 +242,14 @@
         let known = &self.known;
         let is_listed = |id: &str| known.contains_key(id);
         self.departures.expire(now, is_listed);
-        if self.lapsed == 0 || self.may_return(now) {
+        if self.expired == 0 || self.may_return(now) {
             return false;
         }
         let known = self.known.iter().inspect(|_| self.visits.add(1));
-        let lapsed = known.filter(|(_, k)| k.lapsed).map(|(id, _)| id.clone());
-        let lapsed: Vec<CompactString> = lapsed.collect();
-        for id in &lapsed {
-            self.forget(id);
+        let expired = known.filter(|(_, k)| k.expired).map(|(id, _)| id.clone());
+        let expired: Vec<CompactString> = expired.collect();
+        for id in &expired {
+            self.remove_known(id);
         }
         true
     }
@@ -276,7 +276,7 @@
         }
     }
 
-    fn forget(&mut self, id: &str) -> bool {
+    fn remove_known(&mut self, id: &str) -> bool {
         let Some(before) = self.known.remove(id) else {
             return false;
         };
@@ -286,14 +286,14 @@
 
     fn uncount(&mut self, known: &KnownUpstream) {
         self.with_start -= usize::from(known.entry.start.is_known());
-        self.lapsed -= usize::from(known.lapsed);
+        self.expired -= usize::from(known.expired);
     }
 
     fn may_return(&self, now: MonoTime) -> bool {
         self.store_unavailable
             || self
                 .store_back_at
-                .is_some_and(|at| now.since(at) < LAPSE_GRACE)
+                .is_some_and(|at| now.since(at) < RETURN_GRACE)
     }
 }
 
--- a/crates/serving/src/upstream_limits.rs
+++ b/crates/serving/src/upstream_limits.rs
@@ -14,7 +14,7 @@
 /// The least time between two receipts of the same limit that counts as a renewal: more than a
 /// message between instances takes.
 const MIN_RENEWAL_GAP: Duration = Duration::from_millis(100);
-/// Time for which other instances are is_announced that a limit has ended. It is longer than an
+/// Time for which other instances are told that a limit has ended. It is longer than an
 /// instance that was briefly cut off takes to receive heartbeats again.
 const END_ANNOUNCED_FOR: Duration = Duration::from_secs(30);
 /// Time for which the limit of an unlisted upstream is kept: entries expire with the store and
