--- a/crates/serving/src/request_rate.rs
+++ b/crates/serving/src/request_rate.rs
@@ -14,13 +14,13 @@
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum RateError {
     /// The text is not a decimal number.
-    #[snafu(display("`{text}` is not a number; expected requests per second, such as 2.5"))]
+    #[snafu(display("`{text}` is not a number; expected requests a second, such as 2.5"))]
     NotANumber {
         /// The text.
         text: CompactString,
     },
     /// The number is not finite, or is negative.
-    #[snafu(display("`{text}` is out of range; expected requests per second, 0 or more"))]
+    #[snafu(display("`{text}` is out of range; expected requests a second, 0 or more"))]
     OutOfRange {
         /// The text.
         text: CompactString,
