--- a/crates/gateway/src/crash_reporter.rs
+++ b/crates/gateway/src/crash_reporter.rs
@@ -7,14 +7,14 @@
 
 use async_io::Timer;
 use compact_str::CompactString;
-use jd_net::Probe;
+use jd_net::ProbeResult;
 use jd_net::lock;
 use jd_serving::BrokenRun;
 use jd_serving::UpstreamCrash;
 use jd_types::MonoTime;
 
-use crate::peer_quarantine::Report;
-use crate::peers::Peers;
+use crate::peer_client::PeerClient;
+use crate::peer_quarantine::RunReport;
 use crate::quarantine_coordinator::QuarantineCoordinator;
 use crate::run_events::RunEvent;
 use crate::run_events::UpstreamRef;
@@ -47,7 +47,7 @@
 #[derive(Debug)]
 pub(crate) struct CrashReporter {
     state: Arc<State>,
-    peers: Arc<Peers>,
+    peers: Arc<PeerClient>,
     coordinator: Arc<QuarantineCoordinator>,
     broken: Mutex<HashMap<UpstreamRef, Broken>>,
 }
@@ -55,7 +55,7 @@
 impl CrashReporter {
     pub(crate) fn new(
         state: Arc<State>,
-        peers: Arc<Peers>,
+        peers: Arc<PeerClient>,
         coordinator: Arc<QuarantineCoordinator>,
     ) -> CrashReporter {
         CrashReporter {
@@ -70,11 +70,11 @@
     pub(crate) async fn run(self: Arc<Self>) {
         while let Some(run_events) = self.state.quarantine.run_events.next().await {
             match run_events {
-                RunEvent::Ran(run) => self.tell(Report {
+                RunEvent::Completed(run) => self.tell(RunReport {
                     completed_runs: vec![run],
-                    ..Report::default()
+                    ..RunReport::default()
                 }),
-                RunEvent::Broke {
+                RunEvent::Broken {
                     at,
                     upstream,
                     content,
@@ -85,14 +85,14 @@
     }
 
     /// Says for good which suspects ran well here.
-    pub(crate) async fn answer(self: Arc<Self>) {
+    pub(crate) async fn report_recent_runs(self: Arc<Self>) {
         loop {
-            self.state.quarantine.to_answer.given().await;
-            let completed_runs = self.state.quarantine.remembered(self.state.now());
+            self.state.quarantine.runs_wanted.wait().await;
+            let completed_runs = self.state.quarantine.recent_runs(self.state.now());
             if !completed_runs.is_empty() {
-                self.tell(Report {
+                self.tell(RunReport {
                     completed_runs,
-                    ..Report::default()
+                    ..RunReport::default()
                 });
             }
         }
@@ -135,7 +135,7 @@
         let runs = broken.runs.len();
         self.state.metrics.broken_runs(seen.as_str(), runs);
         log::info!(
-            upstream = upstream.upstream.as_str(),
+            upstream = upstream.id.as_str(),
             service = upstream.service.as_str(),
             runs,
             contents = contents(&broken.runs).as_str(),
@@ -143,15 +143,15 @@
             "runs broke at an upstream"
         );
         if seen == Seen::Ended {
-            self.tell(Report {
+            self.tell(RunReport {
                 ends: vec![UpstreamCrash {
                     service: upstream.service,
-                    upstream: upstream.upstream,
+                    upstream: upstream.id,
                     start: upstream.start,
                     at: broken.at,
                     runs: broken.runs,
                 }],
-                ..Report::default()
+                ..RunReport::default()
             });
         }
     }
@@ -160,34 +160,34 @@
         if self.see_entry(upstream) == Seen::Ended {
             return Seen::Ended;
         }
-        match self.state.gate.probe(upstream.address).await {
-            Probe::Refused => Seen::Ended,
-            Probe::Open | Probe::Silent => Seen::There,
+        match self.state.upstream_client.probe(upstream.address).await {
+            ProbeResult::Refused => Seen::Ended,
+            ProbeResult::Open | ProbeResult::TimedOut => Seen::There,
         }
     }
 
     /// What the list of upstreams says.
     fn see_entry(&self, upstream: &UpstreamRef) -> Seen {
         let table = self.state.upstreams.load();
-        match table.start_of(&upstream.upstream) {
+        match table.start_of(&upstream.id) {
             Some(now) if now.is_later_than(upstream.start) => Seen::Ended,
             Some(_) => Seen::There,
-            None if table.is_at(&upstream.service, upstream.address) => Seen::Ended,
+            None if table.serves_at(&upstream.service, upstream.address) => Seen::Ended,
             None => Seen::Unlisted,
         }
     }
 
-    fn tell(self: &Arc<Self>, report: Report) {
+    fn tell(self: &Arc<Self>, report: RunReport) {
         let coordinators = self.state.coordinators().into_iter().take(COORDINATORS);
         for coordinator in coordinators {
-            if coordinator == self.state.me.peer_address {
-                self.coordinator.take(report.clone());
+            if coordinator == self.state.own_entry.peer_address {
+                self.coordinator.record_report(report.clone());
                 continue;
             }
             let reporter = Arc::clone(self);
             let report = report.clone();
             let telling = async move {
-                if !reporter.peers.report(coordinator, &report).await {
+                if !reporter.peers.report_crashes(coordinator, &report).await {
                     log::info!(coordinator:% = coordinator; "a coordinator of the quarantine does not answer; others are told as well");
                 }
             };
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -51,7 +51,7 @@
     }
 
     /// Reads what an answer of an upstream says of its limit.
-    pub(crate) fn note_answer(
+    pub(crate) fn record_answer(
         &self,
         now: MonoTime,
         upstream: &UpstreamRef,
@@ -59,7 +59,7 @@
         headers: &HeaderMap,
         metrics: &Metrics,
     ) {
-        match dialect.named_limit(headers) {
+        match dialect.rate_limit(headers) {
             Ok(None) if !self.any() => {}
             Ok(limit) => {
                 let said = LimitNotice {
@@ -67,13 +67,13 @@
                     limit,
                     received_at: now,
                 };
-                self.take(now, &upstream.upstream, said, LimitSource::Answer, metrics);
+                self.record(now, &upstream.id, said, LimitSource::Answer, metrics);
             }
             Err(e) => {
                 let mut last = lock(&self.unreadable);
-                if last.as_ref() != Some(&upstream.upstream) {
-                    log::warn!(upstream = upstream.upstream.as_str(), error:% = e; "limit of an upstream cannot be read; what it named before counts");
-                    *last = Some(upstream.upstream.clone());
+                if last.as_ref() != Some(&upstream.id) {
+                    log::warn!(upstream = upstream.id.as_str(), error:% = e; "limit of an upstream cannot be read; what it named before counts");
+                    *last = Some(upstream.id.clone());
                 }
             }
         }
@@ -86,11 +86,11 @@
 
     /// The limit that an upstream names.
     pub(crate) fn limit(&self, id: &str) -> Option<RequestRate> {
-        self.of(id)?.limit
+        self.notice(id)?.limit
     }
 
     /// What was last heard of an upstream's limit that counts.
-    pub(crate) fn of(&self, id: &str) -> Option<LimitNotice> {
+    pub(crate) fn notice(&self, id: &str) -> Option<LimitNotice> {
         match self.any() {
             true => lock(&self.known).notice(id),
             false => None,
@@ -98,7 +98,7 @@
     }
 
     /// What others are told.
-    pub(crate) fn told(&self, now: MonoTime) -> Vec<(CompactString, LimitNotice)> {
+    pub(crate) fn notices(&self, now: MonoTime) -> Vec<(CompactString, LimitNotice)> {
         if !self.any() {
             return Vec::new();
         }
@@ -123,7 +123,7 @@
     }
 
     /// Takes in what an upstream said, and tells others of it if that is news.
-    pub(crate) fn take(
+    pub(crate) fn record(
         &self,
         now: MonoTime,
         id: &str,
@@ -145,6 +145,6 @@
             source:? = source;
             "limit of an upstream"
         );
-        self.to_tell.give();
+        self.to_tell.notify();
     }
 }
--- a/crates/gateway/src/store_intake.rs
+++ b/crates/gateway/src/store_applier.rs
@@ -7,8 +7,8 @@
 use jd_serving::Content;
 use jd_serving::Deployment;
 use jd_serving::InstanceEntry;
-use jd_serving::Reading;
 use jd_serving::Router;
+use jd_serving::SnapshotKind;
 use jd_serving::StoreItem;
 use jd_serving::StoreRevision;
 use jd_serving::StoreUpdate;
@@ -21,9 +21,9 @@
 use crate::QuarantineRecord;
 use crate::Record;
 use crate::Store;
-use crate::knowledge::KnownDeployment;
-use crate::quarantine::Source;
-use crate::quarantine::Told;
+use crate::cluster_state::ActiveDeployment;
+use crate::quarantine::QuarantineSource;
+use crate::quarantine::QuarantineUpdate;
 use crate::state::State;
 
 /// Changes of upstreams in one batch that an instance logs one by one though it hears of
@@ -69,56 +69,56 @@
 
 /// Takes in what the store holds, whoever brings the news.
 #[derive(Debug)]
-pub(crate) struct StoreIntake {
+pub(crate) struct StoreApplier {
     pub(crate) state: Arc<State>,
     pub(crate) store: Arc<dyn Store>,
 }
 
-impl StoreIntake {
+impl StoreApplier {
     /// Takes news in; false if they are older than what is known, or of an era whose
     /// beginning is not known here.
-    pub(crate) fn take(&self, news: StoreUpdate) -> bool {
+    pub(crate) fn apply(&self, news: StoreUpdate) -> bool {
         let StoreUpdate {
             is_full: whole,
             items,
             revision,
         } = news;
-        let known = self.state.knowledge().mirror.revision();
+        let known = self.state.cluster().mirror.revision();
         match whole {
             true if revision < known => {
                 log::warn!(revision:%, known:%; "reading of the store is older than what is known, and passed over");
                 return false;
             }
             false if !revision.is_same_era(known) => return false,
-            true => self.replace(items, revision, known),
-            false => self.apply(items, revision),
+            true => self.apply_snapshot(items, revision, known),
+            false => self.apply_changes(items, revision),
         }
         let now = self.state.now();
         {
-            let mut knowledge = self.state.knowledge();
-            knowledge.freshness.record_applied(revision);
-            knowledge.listed_at.get_or_insert(now);
+            let mut cluster = self.state.cluster();
+            cluster.freshness.record_applied(revision);
+            cluster.instances_listed_at.get_or_insert(now);
         }
-        self.state.listed.set();
-        self.state.news.notify(usize::MAX);
+        self.state.instances_listed.set();
+        self.state.changes.notify(usize::MAX);
         true
     }
 
     /// Takes in which instances the store lists, before anything else is known.
-    pub(crate) fn take_instances(&self, items: &[StoreItem]) {
+    pub(crate) fn apply_instances(&self, items: &[StoreItem]) {
         for (change, item) in self.decode(items) {
             if let Change::Put(record) = change {
                 self.take_record(record, &item);
             }
         }
         let now = self.state.now();
-        self.state.knowledge().listed_at.get_or_insert(now);
-        self.state.listed.set();
+        self.state.cluster().instances_listed_at.get_or_insert(now);
+        self.state.instances_listed.set();
     }
 
     /// The other instances that items name.
-    pub(crate) fn sampled(&self, items: &[StoreItem]) -> Vec<InstanceEntry> {
-        let me = &self.state.me;
+    pub(crate) fn decode_sample(&self, items: &[StoreItem]) -> Vec<InstanceEntry> {
+        let me = &self.state.own_entry;
         let entries = self.decode(items).into_iter();
         let entries = entries.filter_map(|(change, _)| match change {
             Change::Put(Record::Instance(entry)) if entry.peer_address != me.peer_address => {
@@ -130,7 +130,7 @@
     }
 
     /// Takes the configuration alone out of another instance's records.
-    pub(crate) fn take_deployment(&self, items: &[StoreItem]) {
+    pub(crate) fn apply_deployment(&self, items: &[StoreItem]) {
         for (change, item) in self.decode(items) {
             if let Change::Put(record @ Record::Deployment(_)) = change {
                 self.take_record(record, &item);
@@ -138,15 +138,15 @@
         }
     }
 
-    fn replace(&self, items: Vec<StoreItem>, revision: StoreRevision, known: StoreRevision) {
+    fn apply_snapshot(&self, items: Vec<StoreItem>, revision: StoreRevision, known: StoreRevision) {
         let is_first = known == StoreRevision::ZERO;
         let reading = match is_first || revision.is_same_era(known) {
-            true => Reading::Complete,
-            false => Reading::Restored,
+            true => SnapshotKind::Complete,
+            false => SnapshotKind::Restored,
         };
         let items = self.keep_deployment(items, revision, true);
         let changes: Vec<(Change, StoreItem)> = self.decode(&items);
-        self.state.knowledge().mirror.replace(items, revision);
+        self.state.cluster().mirror.replace(items, revision);
         let mut upstreams: Vec<UpstreamEntry> = Vec::new();
         let mut instances: Vec<Incarnation> = Vec::new();
         let mut quarantined: Vec<Content> = Vec::new();
@@ -169,36 +169,36 @@
                     }
                     self.take_record(record, &item);
                 }
-                Change::UpstreamGone(_)
-                | Change::InstanceGone(_)
-                | Change::QuarantineGone(_)
-                | Change::ZoneTakenBack(_) => {}
+                Change::UpstreamRemoved(_)
+                | Change::InstanceRemoved(_)
+                | Change::QuarantineRemoved(_)
+                | Change::EvacuationEnded(_) => {}
             }
         }
-        self.state.quarantine.relist(&quarantined);
+        self.state.quarantine.retain_stored(&quarantined);
         let now = self.state.now();
-        if reading == Reading::Restored {
+        if reading == SnapshotKind::Restored {
             log::warn!(revision:%, known:%; "store was restored from a copy; what it lost is written again");
         }
         {
-            let mut knowledge = self.state.knowledge();
-            knowledge.instances.replace_listed(now, &instances, reading);
-            changed |= knowledge.upstreams.replace(now, upstreams, reading);
-            changed |= knowledge.evacuated.replace(now, evacuated, reading);
+            let mut cluster = self.state.cluster();
+            cluster.instances.replace_listed(now, &instances, reading);
+            changed |= cluster.upstreams.replace(now, upstreams, reading);
+            changed |= cluster.evacuated_zones.replace(now, evacuated, reading);
         }
         if changed {
             self.state.rebuild_upstreams();
         }
-        let is_listed = || instances.contains(&self.state.me.incarnation);
-        if !is_first && (reading == Reading::Restored || !is_listed()) {
-            self.state.entry_gone.give();
+        let is_listed = || instances.contains(&self.state.own_entry.incarnation);
+        if !is_first && (reading == SnapshotKind::Restored || !is_listed()) {
+            self.state.own_entry_removed.notify();
         }
         log::info!(revision:%; "store read whole");
     }
 
-    fn apply(&self, items: Vec<StoreItem>, revision: StoreRevision) {
+    fn apply_changes(&self, items: Vec<StoreItem>, revision: StoreRevision) {
         let items = self.keep_deployment(items, revision, false);
-        let items = self.state.knowledge().mirror.apply(items, revision);
+        let items = self.state.cluster().mirror.apply(items, revision);
         let now = self.state.now();
         let mut changed = false;
         let mut lines = self.upstream_lines(items.len());
@@ -206,29 +206,35 @@
             match change {
                 Change::Put(Record::Upstream(entry)) => {
                     lines.written(&entry, revision);
-                    changed |= self.state.knowledge().upstreams.put(now, entry);
+                    changed |= self.state.cluster().upstreams.put(now, entry);
                 }
                 Change::Put(Record::EvacuatedZone(zone)) => {
                     log::info!(zone:% = zone, revision:%; "zone evacuated: nothing new goes to its upstreams");
-                    changed |= self.state.knowledge().evacuated.evacuate(zone);
+                    changed |= self.state.cluster().evacuated_zones.evacuate(zone);
                 }
-                Change::ZoneTakenBack(zone) => {
+                Change::EvacuationEnded(zone) => {
                     log::info!(zone:% = zone, revision:%; "zone taken back");
-                    changed |= self.state.knowledge().evacuated.end_evacuation(now, &zone);
+                    changed |= self
+                        .state
+                        .cluster()
+                        .evacuated_zones
+                        .end_evacuation(now, &zone);
                 }
                 Change::Put(record) => self.take_record(record, &item),
-                Change::UpstreamGone(id) => {
+                Change::UpstreamRemoved(id) => {
                     lines.removed(&id, revision);
-                    changed |= self.state.knowledge().upstreams.remove(now, &id);
+                    changed |= self.state.cluster().upstreams.remove(now, &id);
                 }
                 Change::UpstreamUnreadable { id, reason } => {
                     changed |= self.leave_out(&id, &reason, item.revision);
                 }
-                Change::InstanceGone(id) if id == self.state.me.incarnation => {
-                    self.state.entry_gone.give();
+                Change::InstanceRemoved(id) if id == self.state.own_entry.incarnation => {
+                    self.state.own_entry_removed.notify();
+                }
+                Change::InstanceRemoved(id) => self.state.cluster().instances.unlist(id),
+                Change::QuarantineRemoved(content) => {
+                    self.state.quarantine.set_stored(content, None)
                 }
-                Change::InstanceGone(id) => self.state.knowledge().instances.unlist(id),
-                Change::QuarantineGone(content) => self.state.quarantine.note_stored(content, None),
             }
         }
         lines.end(revision);
@@ -257,7 +263,7 @@
             written:%;
             "entry names no upstream; its own writer has to write it again"
         );
-        self.state.knowledge().upstreams.discard(id)
+        self.state.cluster().upstreams.discard(id)
     }
 
     /// The items with the configuration in force here in the place of an older one, and of
@@ -271,7 +277,7 @@
         revision: StoreRevision,
         whole: bool,
     ) -> Vec<StoreItem> {
-        let Some(known) = self.state.knowledge().deployment.clone() else {
+        let Some(known) = self.state.cluster().deployment.clone() else {
             return items;
         };
         let mut is_missing = whole;
@@ -309,35 +315,35 @@
         } = record;
         // One whose time is over has none left.
         let left = until.duration_since(SystemTime::now()).unwrap_or_default();
-        let told = Told {
+        let told = QuarantineUpdate {
             content,
             state,
             left,
         };
         let quarantine = &self.state.quarantine;
-        quarantine.take(self.state.now(), Source::Store, [told]);
-        quarantine.note_stored(content, Some(state));
+        quarantine.apply(self.state.now(), QuarantineSource::Store, [told]);
+        quarantine.set_stored(content, Some(state));
     }
 
     fn take_record(&self, record: Record, item: &StoreItem) {
         match record {
             Record::Deployment(deployment) => self.take_newer_deployment(*deployment, item),
-            Record::Instance(entry) if entry.incarnation == self.state.me.incarnation => {}
-            Record::Instance(entry) if entry.peer_address == self.state.me.peer_address => {
-                let mut knowledge = self.state.knowledge();
-                knowledge.earlier_starts.push(entry.incarnation);
+            Record::Instance(entry) if entry.incarnation == self.state.own_entry.incarnation => {}
+            Record::Instance(entry) if entry.peer_address == self.state.own_entry.peer_address => {
+                let mut cluster = self.state.cluster();
+                cluster.previous_incarnations.push(entry.incarnation);
             }
             Record::Instance(entry) => {
                 let now = self.state.now();
-                let mut knowledge = self.state.knowledge();
-                knowledge.instances.put(now, entry, item.revision);
+                let mut cluster = self.state.cluster();
+                cluster.instances.put(now, entry, item.revision);
             }
             Record::Upstream(entry) => {
                 let now = self.state.now();
-                self.state.knowledge().upstreams.put(now, entry);
+                self.state.cluster().upstreams.put(now, entry);
             }
             Record::EvacuatedZone(zone) => {
-                self.state.knowledge().evacuated.evacuate(zone);
+                self.state.cluster().evacuated_zones.evacuate(zone);
             }
             Record::Quarantine(record) => self.take_quarantine(record),
             Record::Unreadable { key, reason } => {
@@ -351,8 +357,8 @@
     /// one that was written later is.
     fn take_newer_deployment(&self, deployment: Deployment, item: &StoreItem) {
         let version = deployment.version;
-        let mut knowledge = self.state.knowledge();
-        let is_newer = match &knowledge.deployment {
+        let mut cluster = self.state.cluster();
+        let is_newer = match &cluster.deployment {
             None => true,
             Some(known) if version == known.version => {
                 let later = item.revision > known.item.revision;
@@ -364,12 +370,12 @@
             return;
         }
         let item = item.clone();
-        knowledge.deployment = Some(KnownDeployment { version, item });
-        knowledge.ahead = None;
+        cluster.deployment = Some(ActiveDeployment { version, item });
+        cluster.newer_peer = None;
         let router = Router::new(deployment);
         self.state.router.store(Some(Arc::new(router)));
-        drop(knowledge);
-        self.state.divide_upstreams();
+        drop(cluster);
+        self.state.rebuild_shards();
         log::info!(version; "configuration in force");
     }
 }
--- a/crates/serving/src/bootstrap_sources.rs
+++ b/crates/serving/src/bootstrap_sources.rs
@@ -9,7 +9,7 @@
 use crate::InstanceEntry;
 use crate::Shard;
 use crate::Strength;
-use crate::owners;
+use crate::rank_owners;
 
 /// The size of a sample of one in sixteen instances from which the fleet counts as large. In a
 /// smaller fleet every instance may read the complete list.
@@ -50,7 +50,7 @@
         };
         // An instance that has restarted may be in the sample twice.
         let mut remaining: Vec<SocketAddr> = Vec::with_capacity(MAX_SOURCES);
-        for entry in owners(&whole_fleet, sample.iter(), 2 * MAX_SOURCES) {
+        for entry in rank_owners(&whole_fleet, sample.iter(), 2 * MAX_SOURCES) {
             if remaining.len() < MAX_SOURCES && !remaining.contains(&entry.peer_address) {
                 remaining.push(entry.peer_address);
             }
--- a/crates/serving/src/evacuated_zones.rs
+++ b/crates/serving/src/evacuated_zones.rs
@@ -7,7 +7,7 @@
 use jd_types::MonoTime;
 use jd_types::Name;
 
-use crate::Reading;
+use crate::SnapshotKind;
 
 /// Time for which a zone stays evacuated that a restored store lacks, so that the operator can
 /// rewrite the record.
@@ -48,16 +48,16 @@
     ///
     /// Guards against sending work to a zone because the store was restored from a copy that is
     /// older than the zone's evacuation.
-    pub fn replace(&mut self, now: MonoTime, zones: BTreeSet<Name>, reading: Reading) -> bool {
+    pub fn replace(&mut self, now: MonoTime, zones: BTreeSet<Name>, kind: SnapshotKind) -> bool {
         let removed: Vec<Name> = self.zones.difference(&zones).cloned().collect();
         let mut changed = false;
         for zone in removed {
-            match reading {
-                Reading::Restored => {
+            match kind {
+                SnapshotKind::Restored => {
                     self.missing.insert(zone, now + REWRITE_GRACE);
                 }
-                Reading::Complete if self.missing.contains_key(&zone) => {}
-                Reading::Complete => changed |= self.end_evacuation(now, &zone),
+                SnapshotKind::Complete if self.missing.contains_key(&zone) => {}
+                SnapshotKind::Complete => changed |= self.end_evacuation(now, &zone),
             }
         }
         for zone in zones {
--- a/crates/serving/src/heartbeat_peers.rs
+++ b/crates/serving/src/heartbeat_peers.rs
@@ -10,7 +10,7 @@
 use crate::SMALL_FLEET;
 use crate::Shard;
 use crate::ShardMap;
-use crate::owners;
+use crate::rank_owners;
 
 /// Owners of each shard that are monitored: the owner that is asked first and its successor.
 const OWNERS_PER_SHARD: usize = 2;
@@ -48,7 +48,7 @@
             return all.shards().cloned().collect();
         }
         self.used
-            .retain(|shard, at| now.since(*at) < RECENT_USE && all.has(shard));
+            .retain(|shard, at| now.since(*at) < RECENT_USE && all.contains(shard));
         let mut used: Vec<(MonoTime, Shard)> = self
             .used
             .iter()
@@ -76,7 +76,7 @@
     let fleet = || others.iter().chain([me]);
     let mut ids: Vec<Incarnation> = Vec::new();
     for shard in shards {
-        let first = owners(shard, fleet(), OWNERS_PER_SHARD);
+        let first = rank_owners(shard, fleet(), OWNERS_PER_SHARD);
         ids.extend(first.into_iter().map(|e| e.incarnation));
     }
     ids.extend(source);
--- a/crates/serving/src/instance_directory.rs
+++ b/crates/serving/src/instance_directory.rs
@@ -9,10 +9,10 @@
 use jd_types::MonoTime;
 use jd_types::Name;
 
-use crate::Reading;
+use crate::SnapshotKind;
 use crate::StoreRevision;
 use crate::Strength;
-use crate::visits::Visits;
+use crate::visit_counter::VisitCounter;
 
 /// Time without a heartbeat reply after which an instance counts as absent: three missed
 /// heartbeats. A caller that is sent to a dead instance loses about a second.
@@ -81,7 +81,7 @@
     by_address: HashMap<SocketAddr, Incarnation>,
     /// Instances that the store does not list.
     unlisted: HashSet<Incarnation>,
-    visits: Visits,
+    visits: VisitCounter,
 }
 
 #[derive(Debug)]
@@ -163,15 +163,15 @@
     /// Instances that a restored store lacks rewrite their entries, and stay listed until they
     /// have had time to do so. Otherwise a large fleet, in which only a few instances monitor
     /// each instance, would lose all recently started instances at once.
-    pub fn replace_listed(&mut self, now: MonoTime, ids: &[Incarnation], reading: Reading) {
+    pub fn replace_listed(&mut self, now: MonoTime, ids: &[Incarnation], kind: SnapshotKind) {
         let ids: HashSet<Incarnation> = ids.iter().copied().collect();
         for (id, known) in &mut self.known {
             self.visits.add(1);
-            match reading {
+            match kind {
                 _ if ids.contains(id) => known.missing_since = None,
-                Reading::Restored => known.missing_since = Some(now),
-                Reading::Complete if known.missing_since.is_some() => {}
-                Reading::Complete => {
+                SnapshotKind::Restored => known.missing_since = Some(now),
+                SnapshotKind::Complete if known.missing_since.is_some() => {}
+                SnapshotKind::Complete => {
                     known.listed = false;
                     self.unlisted.insert(*id);
                 }
--- a/crates/serving/src/lib.rs
+++ b/crates/serving/src/lib.rs
@@ -1,9 +1,9 @@
 //! Decisions of the serving path, without I/O.
 //!
 //! [`Router`] holds the operator's configuration, [`UpstreamDirectory`] and
-//! [`InstanceDirectory`] track upstreams and instances, and [`Freshness`] tracks how recent
-//! this knowledge is. [`StageDesk`] schedules the pieces of stages, [`place_prompt`] selects
-//! the upstream of a prompt, and [`RetryBudget`] limits retries. [`CrashEvidence`] and
+//! [`InstanceDirectory`] track upstreams and instances, and [`Freshness`] tracks how recent this
+//! knowledge is. [`StageScheduler`] schedules the pieces of stages, [`place_prompt`] selects the
+//! upstream of a prompt, and [`RetryBudget`] limits retries. [`CrashEvidence`] and
 //! [`QuarantineList`] find and block requests that crash the upstreams that run them. Time is
 //! passed in and nothing reads a clock or a socket, so that tests can replay loads in virtual
 //! time.
@@ -18,59 +18,59 @@
 mod crash_evidence;
 mod departures;
 mod deployment;
-mod desk_call;
-mod desk_estimates;
-mod desk_job;
-mod desk_restarts;
-mod desk_results;
-mod desk_rooms;
-mod desk_zones;
+mod estimate_bias;
 mod evacuated_zones;
 mod event_splitter;
-mod expectation;
+mod finished_job;
 mod freshness;
 mod heartbeat_peers;
 mod instance_directory;
-mod job_end;
-mod owner;
+mod open_call;
 mod prompt;
 mod prompt_placement;
 mod quarantine_list;
 mod rank;
 mod rate_limiter;
-mod reading;
 mod recent_runs;
+mod refused_requests;
 mod request_rate;
-mod result_room;
+mod result_storage;
 mod retry_after;
 mod retry_budget;
-mod returning;
 mod revision;
-mod room_watch;
 mod route;
 mod router;
+mod scheduled_job;
+mod scheduler_estimates;
+mod scheduler_restarts;
+mod scheduler_results;
+mod scheduler_storage;
+mod scheduler_zones;
 mod service;
 mod shard;
-mod stage_desk;
+mod shard_owners;
+mod snapshot_kind;
 mod stage_job;
 mod stage_queue;
+mod stage_scheduler;
 mod store_mirror;
+mod untracked_storage;
 mod update_source;
 mod upstream_directory;
 mod upstream_limits;
 mod upstream_start;
-mod visits;
-mod zone_turns;
+mod visit_counter;
+mod zone_availability;
 
 pub use backoffs::Backoffs;
 pub use batch_call::BatchCall;
 pub use batch_call::CallKey;
 pub use batch_call::CallResult;
-pub use batch_call::PieceOrder;
+pub use batch_call::PieceInput;
+pub use batch_call::PieceRequest;
 pub use batch_call::PieceResult;
-pub use batch_call::PieceSource;
-pub use batch_call::RoomQuestion;
-pub use batch_call::RoomReport;
+pub use batch_call::StorageQuery;
+pub use batch_call::StorageReport;
 pub use batch_upstream::StageUpstream;
 pub use bootstrap_sources::BootstrapSources;
 pub use call_head::CallHead;
@@ -86,9 +86,12 @@
 pub use deployment::CallerLimits;
 pub use deployment::CustomerSpec;
 pub use deployment::Deployment;
+pub use estimate_bias::EstimateBias;
 pub use evacuated_zones::EvacuatedZones;
 pub use event_splitter::EventSplitter;
-pub use expectation::Expectation;
+pub use finished_job::FinishedJob;
+pub use finished_job::JobFailure;
+pub use finished_job::JobKey;
 pub use freshness::Freshness;
 pub use freshness::Proof;
 pub use heartbeat_peers::RecentShards;
@@ -97,11 +100,6 @@
 pub use instance_directory::InstanceDirectory;
 pub use instance_directory::InstanceEntry;
 pub use instance_directory::UnresponsiveInstance;
-pub use job_end::JobEnd;
-pub use job_end::JobFailure;
-pub use job_end::JobKey;
-pub use owner::Strength;
-pub use owner::owners;
 pub use prompt::Prompt;
 pub use prompt::PromptPart;
 pub use prompt_placement::PromptUpstream;
@@ -113,7 +111,6 @@
 pub use quarantine_list::QuarantineState;
 pub use rate_limiter::LimiterShare;
 pub use rate_limiter::RateLimiter;
-pub use reading::Reading;
 pub use recent_runs::CompletedRun;
 pub use recent_runs::RecentRuns;
 pub use request_rate::RateError;
@@ -135,10 +132,13 @@
 pub use service::Service;
 pub use shard::Shard;
 pub use shard::ShardMap;
-pub use stage_desk::StageDesk;
+pub use shard_owners::Strength;
+pub use shard_owners::rank_owners;
+pub use snapshot_kind::SnapshotKind;
 pub use stage_job::JobStage;
 pub use stage_job::PieceKey;
 pub use stage_job::StageJob;
+pub use stage_scheduler::StageScheduler;
 pub use store_mirror::StoreItem;
 pub use store_mirror::StoreMirror;
 pub use store_mirror::StoreUpdate;
--- a/crates/serving/src/store_mirror.rs
+++ b/crates/serving/src/store_mirror.rs
@@ -8,7 +8,7 @@
 use compact_str::CompactString;
 
 use crate::StoreRevision;
-use crate::visits::Visits;
+use crate::visit_counter::VisitCounter;
 
 /// The least number of removals that are kept, some 60 bytes each. A follower that is further
 /// behind is sent all records.
@@ -52,7 +52,7 @@
     /// Removals up to this revision may have been dropped.
     dropped_up_to: StoreRevision,
     revision: StoreRevision,
-    visits: Visits,
+    visits: VisitCounter,
 }
 
 impl StoreMirror {
--- a/crates/serving/src/update_source.rs
+++ b/crates/serving/src/update_source.rs
@@ -4,7 +4,7 @@
 
 use crate::InstanceEntry;
 use crate::Shard;
-use crate::owners;
+use crate::rank_owners;
 
 /// The fleet size up to which every instance watches the store itself and exchanges heartbeats
 /// with all others. In a fleet of 75 each instance would send and answer 370 heartbeats a
@@ -93,7 +93,7 @@
         part: 0,
         parts: 1,
     };
-    let order = owners(&whole_fleet, instances, CANDIDATES).into_iter();
+    let order = rank_owners(&whole_fleet, instances, CANDIDATES).into_iter();
     order.map(|e| e.incarnation).collect()
 }
 
--- a/crates/serving/src/upstream_directory.rs
+++ b/crates/serving/src/upstream_directory.rs
@@ -9,11 +9,11 @@
 use jd_types::MonoTime;
 use jd_types::Name;
 
-use crate::Reading;
+use crate::SnapshotKind;
 use crate::UpstreamStart;
 use crate::departures::DepartureSource;
 use crate::departures::Departures;
-use crate::visits::Visits;
+use crate::visit_counter::VisitCounter;
 
 /// Time after the store becomes available again in which an expired entry may still return. The
 /// platform rewrites entries of live upstreams within two seconds.
@@ -69,7 +69,7 @@
     departures: Departures,
     store_unavailable: bool,
     store_back_at: Option<MonoTime>,
-    visits: Visits,
+    visits: VisitCounter,
 }
 
 #[derive(Debug)]
@@ -104,7 +104,7 @@
     /// entry without one comes from another writer and removes the upstream of that name.
     pub fn put(&mut self, now: MonoTime, entry: UpstreamEntry) -> bool {
         let most_have_start = self.with_start > self.known.len() - self.with_start;
-        self.apply(now, entry, most_have_start, Reading::Complete)
+        self.apply(now, entry, most_have_start, SnapshotKind::Complete)
     }
 
     fn apply(
@@ -112,7 +112,7 @@
         now: MonoTime,
         entry: UpstreamEntry,
         most_have_start: bool,
-        reading: Reading,
+        kind: SnapshotKind,
     ) -> bool {
         self.visits.add(1);
         if most_have_start && !entry.start.is_known() {
@@ -123,12 +123,12 @@
             return false;
         }
         let (id, start) = (entry.id.clone(), entry.start);
-        match reading {
+        match kind {
             _ if entry.leaving => self
                 .departures
                 .record(now, &id, start, DepartureSource::Entry),
-            Reading::Complete => self.departures.revoke_by_entry(&id),
-            Reading::Restored => {}
+            SnapshotKind::Complete => self.departures.revoke_by_entry(&id),
+            SnapshotKind::Restored => {}
         }
         let leaving = entry.leaving || self.departures.is_leaving(&id, start);
         let entry = UpstreamEntry { leaving, ..entry };
@@ -216,9 +216,9 @@
         &mut self,
         now: MonoTime,
         entries: Vec<UpstreamEntry>,
-        reading: Reading,
+        kind: SnapshotKind,
     ) -> bool {
-        if reading == Reading::Restored {
+        if kind == SnapshotKind::Restored {
             self.store_back_at = Some(now);
         }
         let listed: HashSet<&str> = entries.iter().map(|e| e.id.as_str()).collect();
@@ -231,7 +231,7 @@
         }
         let most_have_start = most_have_known_start(entries.iter());
         for entry in entries {
-            changed |= self.apply(now, entry, most_have_start, reading);
+            changed |= self.apply(now, entry, most_have_start, kind);
         }
         changed
     }
--- a/crates/serving/tests/leaving.rs
+++ b/crates/serving/tests/leaving.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use jd_serving::Reading;
+use jd_serving::SnapshotKind;
 use jd_serving::UpstreamDirectory;
 use jd_serving::UpstreamEntry;
 use jd_serving::UpstreamStart;
@@ -66,7 +66,7 @@
     directory.mark_leaving(at(10), "u", UNKNOWN_START);
     directory.put(at(20), entry(UNKNOWN_START));
     assert_eq!(is_used(&directory), Some(false));
-    directory.replace(at(30), vec![entry(UNKNOWN_START)], Reading::Complete);
+    directory.replace(at(30), vec![entry(UNKNOWN_START)], SnapshotKind::Complete);
     assert_eq!(is_used(&directory), Some(false));
 }
 
@@ -117,7 +117,11 @@
 fn a_restored_store_does_not_revoke_a_departure(departure: Departure) {
     let mut directory = listed(UNKNOWN_START);
     departure.report(&mut directory);
-    directory.replace(at(5_000), vec![entry(UNKNOWN_START)], Reading::Restored);
+    directory.replace(
+        at(5_000),
+        vec![entry(UNKNOWN_START)],
+        SnapshotKind::Restored,
+    );
     assert_eq!(is_used(&directory), Some(false));
 }
 
@@ -131,7 +135,11 @@
         let mut directory = listed(UNKNOWN_START);
         departure.report(&mut directory);
         if restored {
-            directory.replace(at(5_000), vec![entry(UNKNOWN_START)], Reading::Restored);
+            directory.replace(
+                at(5_000),
+                vec![entry(UNKNOWN_START)],
+                SnapshotKind::Restored,
+            );
         }
         directory.put(at(6_000), entry(UNKNOWN_START));
         assert_eq!(is_used(&directory), Some(used), "restored: {restored}");
@@ -142,7 +150,7 @@
 #[test]
 fn an_upstream_missing_in_a_restored_store_stays_in_use_for_a_while() {
     let mut directory = listed(UNKNOWN_START);
-    assert!(!directory.replace(at(5_000), Vec::new(), Reading::Restored));
+    assert!(!directory.replace(at(5_000), Vec::new(), SnapshotKind::Restored));
     assert_eq!(is_used(&directory), Some(true));
     assert!(!directory.expire(at(6_999)));
     assert!(directory.expire(at(7_000)));
--- a/crates/serving/tests/quarantine_list.rs
+++ b/crates/serving/tests/quarantine_list.rs
@@ -156,12 +156,12 @@
 fn a_completed_run_is_remembered_for_half_a_minute() {
     let mut recent = RecentRuns::default();
     let content = Content::from_number(OTHER);
-    recent.note(at(1_000), "pool", content);
+    recent.record(at(1_000), "pool", content);
     assert_eq!(
-        recent.of(at(20_000), content),
+        recent.runs_of(at(20_000), content),
         [completed("pool", OTHER, 1_000)]
     );
-    assert!(recent.of(at(32_000), content).is_empty());
+    assert!(recent.runs_of(at(32_000), content).is_empty());
     let bad = Content::from_number(BAD);
-    assert!(recent.of(at(2_000), bad).is_empty());
+    assert!(recent.runs_of(at(2_000), bad).is_empty());
 }
