--- a/crates/gateway/src/crash_reporter.rs
+++ b/crates/gateway/src/crash_reporter.rs
@@ -1,4 +1,4 @@
-//! Finding out which upstreams have ended, and telling the coordinators of the quarantine.
+//! Detects crashed upstreams and reports them to the coordinators of the quarantine.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -20,36 +20,37 @@
 use crate::run_events::UpstreamRef;
 use crate::state::State;
 
-/// How long broken runs of one upstream gather before it is looked for. Its connections
-/// break within a few milliseconds of each other.
-const GATHER: Duration = Duration::from_millis(30);
-/// How often it is looked whether an upstream that answers is a later start.
-const LOOK_AGAIN: Duration = Duration::from_millis(200);
-/// How long. A process that is started again at once is listed anew within a second; one
-/// that ends later than that has not ended by what broke before.
-const LOOK_FOR: Duration = Duration::from_secs(1);
-/// Instances that are told: the one that decides and those that would come after it, so
-/// that what is known outlives the loss of two.
+/// How long broken runs of one upstream are collected before it is checked. Its
+/// connections break within a few milliseconds of each other.
+const COLLECT_FOR: Duration = Duration::from_millis(30);
+/// Interval between checks whether an upstream that answers has restarted.
+const RECHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// How long these checks go on. A process that is restarted at once is listed again
+/// within a second; an upstream that crashes later than that did not crash from the runs
+/// that add_broken_run before.
+const RECHECK_FOR: Duration = Duration::from_secs(1);
+/// Instances that get each report: the coordinator that decides and the next two, so that
+/// the evidence survives the loss of two instances.
 const COORDINATORS: usize = 3;
-/// The most runs of one end that are told.
-const MOST_RUNS: usize = 128;
-/// Contents that a line names.
-const MOST_NAMED: usize = 8;
+/// Most broken runs in a report on one crash.
+const MAX_RUNS_PER_REPORT: usize = 128;
+/// Most contents that a log line names.
+const MAX_CONTENTS_PER_LINE: usize = 8;
 
-/// What broke at one upstream.
+/// Runs that add_broken_run at one upstream.
 #[derive(Debug)]
-struct Broken {
+struct BrokenRuns {
     at: MonoTime,
     runs: Vec<BrokenRun>,
 }
 
-/// Finds out which upstreams have ended, and tells the coordinators of the quarantine.
+/// Detects crashed upstreams and reports them to the coordinators of the quarantine.
 #[derive(Debug)]
 pub(crate) struct CrashReporter {
     state: Arc<State>,
     peers: Arc<PeerClient>,
     coordinator: Arc<QuarantineCoordinator>,
-    broken: Mutex<HashMap<UpstreamRef, Broken>>,
+    broken: Mutex<HashMap<UpstreamRef, BrokenRuns>>,
 }
 
 impl CrashReporter {
@@ -66,11 +67,11 @@
         }
     }
 
-    /// Takes events in for good.
+    /// Handles run events, forever.
     pub(crate) async fn run(self: Arc<Self>) {
-        while let Some(run_events) = self.state.quarantine.run_events.next().await {
-            match run_events {
-                RunEvent::Ran(run) => self.tell(RunReport {
+        while let Some(event) = self.state.quarantine.run_events.next().await {
+            match event {
+                RunEvent::Ran(run) => self.send_report(RunReport {
                     completed_runs: vec![run],
                     ..RunReport::default()
                 }),
@@ -79,18 +80,19 @@
                     upstream,
                     content,
                     began,
-                } => self.broke(at, upstream, BrokenRun { content, began }),
+                } => self.add_broken_run(at, upstream, BrokenRun { content, began }),
             }
         }
     }
 
-    /// Says for good which suspects ran well here.
+    /// Reports recently completed runs of suspected requests whenever the quarantine
+    /// changes, forever.
     pub(crate) async fn report_recent_runs(self: Arc<Self>) {
         loop {
-            self.state.quarantine.runs_wanted.given().await;
+            self.state.quarantine.runs_requested.given().await;
             let completed_runs = self.state.quarantine.recent_runs(self.state.now());
             if !completed_runs.is_empty() {
-                self.tell(RunReport {
+                self.send_report(RunReport {
                     completed_runs,
                     ..RunReport::default()
                 });
@@ -98,52 +100,52 @@
         }
     }
 
-    fn broke(self: &Arc<Self>, at: MonoTime, upstream: UpstreamRef, run: BrokenRun) {
+    fn add_broken_run(self: &Arc<Self>, at: MonoTime, upstream: UpstreamRef, run: BrokenRun) {
         let mut broken = lock(&self.broken);
         match broken.get_mut(&upstream) {
-            Some(known) if known.runs.len() >= MOST_RUNS => {}
+            Some(known) if known.runs.len() >= MAX_RUNS_PER_REPORT => {}
             Some(known) => known.runs.push(run),
             None => {
                 let runs = vec![run];
-                broken.insert(upstream.clone(), Broken { at, runs });
-                let looking = Arc::clone(self).look(upstream);
-                self.state.executor.spawn(looking).detach();
+                broken.insert(upstream.clone(), BrokenRuns { at, runs });
+                let investigating = Arc::clone(self).investigate(upstream);
+                self.state.executor.spawn(investigating).detach();
             }
         }
     }
 
-    /// Finds out whether an upstream at which runs broke has ended, and tells of it.
+    /// Finds out whether an upstream at which runs add_broken_run has crashed, and reports it.
     ///
-    /// A connection breaks for many reasons, and most of them leave the upstream well. It
-    /// has ended if nobody listens where it did, or if another start of it is known.
-    async fn look(self: Arc<Self>, upstream: UpstreamRef) {
-        Timer::after(GATHER).await;
-        // What breaks from now on is looked into by itself.
+    /// Most broken connections leave the upstream running. It has crashed if its address
+    /// refuses connections, or if a later start of it is known.
+    async fn investigate(self: Arc<Self>, upstream: UpstreamRef) {
+        Timer::after(COLLECT_FOR).await;
+        // Runs that break from now on start a check of their own.
         let Some(broken) = lock(&self.broken).remove(&upstream) else {
             return;
         };
-        let until = self.state.now() + LOOK_FOR;
-        let mut seen = self.see(&upstream).await;
-        while seen == Seen::There && self.state.now() < until {
-            Timer::after(LOOK_AGAIN).await;
-            seen = self.see_entry(&upstream);
-            if seen == Seen::Unlisted {
-                // It may have left and still serve what it has.
-                seen = self.see(&upstream).await;
+        let until = self.state.now() + RECHECK_FOR;
+        let mut status = self.check(&upstream).await;
+        while status == UpstreamStatus::Running && self.state.now() < until {
+            Timer::after(RECHECK_INTERVAL).await;
+            status = self.check_entry(&upstream);
+            if status == UpstreamStatus::Unlisted {
+                // It may have left and still be finishing its requests.
+                status = self.check(&upstream).await;
             }
         }
         let runs = broken.runs.len();
-        self.state.metrics.broken_runs(seen.as_str(), runs);
+        self.state.metrics.broken_runs(status.as_str(), runs);
         log::info!(
             upstream = upstream.upstream.as_str(),
             service = upstream.service.as_str(),
             runs,
             contents = contents(&broken.runs).as_str(),
-            outcome = seen.as_str();
+            outcome = status.as_str();
             "runs broke at an upstream"
         );
-        if seen == Seen::Ended {
-            self.tell(RunReport {
+        if status == UpstreamStatus::Ended {
+            self.send_report(RunReport {
                 ends: vec![UpstreamEnd {
                     service: upstream.service,
                     upstream: upstream.upstream,
@@ -156,28 +158,28 @@
         }
     }
 
-    async fn see(&self, upstream: &UpstreamRef) -> Seen {
-        if self.see_entry(upstream) == Seen::Ended {
-            return Seen::Ended;
+    async fn check(&self, upstream: &UpstreamRef) -> UpstreamStatus {
+        if self.check_entry(upstream) == UpstreamStatus::Ended {
+            return UpstreamStatus::Ended;
         }
         match self.state.gate.probe(upstream.address).await {
-            Probe::Refused => Seen::Ended,
-            Probe::Open | Probe::Silent => Seen::There,
+            Probe::Refused => UpstreamStatus::Ended,
+            Probe::Open | Probe::Silent => UpstreamStatus::Running,
         }
     }
 
-    /// What the list of upstreams says.
-    fn see_entry(&self, upstream: &UpstreamRef) -> Seen {
+    /// Checks the list of upstreams alone.
+    fn check_entry(&self, upstream: &UpstreamRef) -> UpstreamStatus {
         let table = self.state.upstreams.load();
         match table.start_of(&upstream.upstream) {
-            Some(now) if now.is_later_than(upstream.start) => Seen::Ended,
-            Some(_) => Seen::There,
-            None if table.is_at(&upstream.service, upstream.address) => Seen::Ended,
-            None => Seen::Unlisted,
+            Some(now) if now.is_later_than(upstream.start) => UpstreamStatus::Ended,
+            Some(_) => UpstreamStatus::Running,
+            None if table.is_at(&upstream.service, upstream.address) => UpstreamStatus::Ended,
+            None => UpstreamStatus::Unlisted,
         }
     }
 
-    fn tell(self: &Arc<Self>, report: RunReport) {
+    fn send_report(self: &Arc<Self>, report: RunReport) {
         let coordinators = self.state.coordinators().into_iter().take(COORDINATORS);
         for coordinator in coordinators {
             if coordinator == self.state.me.peers {
@@ -186,39 +188,42 @@
             }
             let reporter = Arc::clone(self);
             let report = report.clone();
-            let telling = async move {
+            let sending = async move {
                 if !reporter.peers.report_crashes(coordinator, &report).await {
-                    log::info!(coordinator:% = coordinator; "a coordinator of the quarantine does not answer; others are told as well");
+                    log::info!(coordinator:% = coordinator; "a coordinator of the quarantine does not answer; the other coordinators get the report as well");
                 }
             };
-            self.state.executor.spawn(telling).detach();
+            self.state.executor.spawn(sending).detach();
         }
     }
 }
 
-/// What was found out of an upstream.
+/// Result of checking an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Seen {
-    /// Its process is gone.
+enum UpstreamStatus {
+    /// Its process has ended.
     Ended,
-    /// It is there, or there is no telling.
-    There,
-    /// Nothing lists it any more.
+    /// It is running, or its state is unknown.
+    Running,
+    /// It is no longer listed.
     Unlisted,
 }
 
-impl Seen {
+impl UpstreamStatus {
     const fn as_str(self) -> &'static str {
         match self {
-            Seen::Ended => "ended",
-            Seen::There => "there",
-            Seen::Unlisted => "unlisted",
+            UpstreamStatus::Ended => "ended",
+            UpstreamStatus::Running => "there",
+            UpstreamStatus::Unlisted => "unlisted",
         }
     }
 }
 
-/// What broke, for a log line.
+/// The contents of broken runs, for a log line.
 fn contents(runs: &[BrokenRun]) -> CompactString {
-    let named = runs.iter().take(MOST_NAMED).map(|r| r.content.to_string());
+    let named = runs
+        .iter()
+        .take(MAX_CONTENTS_PER_LINE)
+        .map(|r| r.content.to_string());
     named.collect::<Vec<String>>().join(" ").into()
 }
--- a/crates/gateway/src/limiters.rs
+++ b/crates/gateway/src/limiters.rs
@@ -1,4 +1,4 @@
-//! Permits to send to upstreams that name a limit: asking for them, and giving them out.
+//! Permits to send to upstreams with a rate limit: requesting them, and giving them out.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -20,36 +20,37 @@
 use crate::run_events::UpstreamRef;
 use crate::state::State;
 
-/// Parts that upstreams are divided into, each with an instance that gives out permits.
+/// Number of shards that upstreams are divided into, each with an instance that gives out
+/// permits.
 const PARTS: u32 = 8;
-/// How long an instance may take to answer: several round trips between zones.
-const ASK_WITHIN: Duration = Duration::from_millis(150);
-/// How long one that was silent is not asked.
-const SILENT_FOR: Duration = Duration::from_secs(1);
-/// When to ask again while nobody answers who gives out permits.
-const ASK_AGAIN: Duration = Duration::from_millis(300);
-/// How long a limiter is kept that nobody asks.
-const KEPT_FOR: Duration = Duration::from_secs(60);
-/// Limiters beyond which those that nobody asks are looked for.
-const MANY: usize = 512;
+/// Timeout of a permit request: several round trips between zones.
+const PERMIT_TIMEOUT: Duration = Duration::from_millis(150);
+/// How long an instance that did not answer gets no permit requests.
+const SILENT_PAUSE: Duration = Duration::from_secs(1);
+/// When to retry if no instance that gives out permits answers.
+const RETRY_PAUSE: Duration = Duration::from_millis(300);
+/// How long an unused limiter is kept.
+const UNUSED_LIMITER_TTL: Duration = Duration::from_secs(60);
+/// Number of limiters above which unused ones are removed.
+const PRUNE_ABOVE: usize = 512;
 
-/// A limiter and when it was last asked.
+/// A limiter and when it was last used.
 #[derive(Debug)]
-struct Asked {
+struct UsedLimiter {
     limiter: RateLimiter,
-    at: MonoTime,
+    last_used: MonoTime,
 }
 
-/// What this instance gives out, and which others do not answer.
+/// The limiters of this instance, and the instances that did not answer permit requests.
 #[derive(Debug, Default)]
 pub(crate) struct Limiters {
-    own: Mutex<HashMap<CompactString, Asked>>,
+    own: Mutex<HashMap<CompactString, UsedLimiter>>,
     silent: Mutex<HashMap<SocketAddr, MonoTime>>,
 }
 
 impl Limiters {
-    /// Decides here on a permit for an upstream, by its identity. One that names no limit
-    /// any more needs none.
+    /// Decides on a permit for an upstream, by its identity, with this instance's own
+    /// limiter. An upstream that no longer has a limit needs no permit.
     pub(crate) fn acquire_local(
         &self,
         state: &State,
@@ -68,15 +69,15 @@
             false => LimiterPart::Quarter,
         };
         let mut own = lock(&self.own);
-        if own.len() > MANY {
-            own.retain(|_, asked| now.since(asked.at) < KEPT_FOR);
+        if own.len() > PRUNE_ABOVE {
+            own.retain(|_, used| now.since(used.last_used) < UNUSED_LIMITER_TTL);
         }
-        let asked = own.entry(id.into()).or_insert_with(|| Asked {
+        let used = own.entry(id.into()).or_insert_with(|| UsedLimiter {
             limiter: RateLimiter::new(now),
-            at: now,
+            last_used: now,
         });
-        asked.at = now;
-        let decided = asked.limiter.acquire(now, rate, part, priority);
+        used.last_used = now;
+        let decided = used.limiter.acquire(now, rate, part, priority);
         state.metrics.permit(match decided {
             Ok(()) => "granted",
             Err(_) => "turned-away",
@@ -84,8 +85,8 @@
         decided
     }
 
-    /// Asks the instance that gives out permits for an upstream; how long until a turn
-    /// comes, if it has none.
+    /// Requests a permit from the instance that gives them out for an upstream; if
+    /// refused, how long until the next turn.
     pub(crate) async fn acquire(
         &self,
         state: &State,
@@ -104,27 +105,27 @@
             let channel = state.channels.channel_to(limiter);
             let mut client = GatewayClient::new(channel.clone());
             let req = peer_limits::permit_request(upstream, notice, priority, state.now());
-            match within(ASK_WITHIN, client.acquire_permit(req)).await {
+            match within(PERMIT_TIMEOUT, client.acquire_permit(req)).await {
                 Some(Ok(reply)) => return peer_limits::permit_decision(state, reply.into_inner()),
                 Some(Err(_)) => {}
-                // The connection may be silent for good while new ones work.
+                // This connection may hang forever while new ones work.
                 None => channel.reset(),
             }
-            log::warn!(limiter:% = limiter, upstream = upstream.upstream.as_str(); "instance that gives out permits is silent");
+            log::warn!(limiter:% = limiter, upstream = upstream.upstream.as_str(); "instance that gives out permits does not answer");
             state.metrics.permit("silent");
             lock(&self.silent).insert(limiter, state.now());
         }
-        Err(ASK_AGAIN)
+        Err(RETRY_PAUSE)
     }
 
     fn is_silent(&self, now: MonoTime, limiter: SocketAddr) -> bool {
         let mut silent = lock(&self.silent);
-        silent.retain(|_, since| now.since(*since) < SILENT_FOR);
+        silent.retain(|_, since| now.since(*since) < SILENT_PAUSE);
         silent.contains_key(&limiter)
     }
 }
 
-/// The part of the upstreams that one at this address belongs to.
+/// The shard of the upstream at an address.
 fn shard_of(upstream: SocketAddr) -> Shard {
     Shard {
         zone: None,
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -1,4 +1,4 @@
-//! The limits that upstreams name, on the path of every answer.
+//! Rate limits that upstreams set, read from each of their answers.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -19,38 +19,38 @@
 use crate::run_events::UpstreamRef;
 use crate::signal::Signal;
 
-/// Who told of a limit.
+/// Where a limit came from.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum LimitSource {
     /// The upstream itself, in an answer.
     Answer,
-    /// Another instance.
+    /// Another instance's heartbeat or permit message.
     Beat,
 }
 
-/// The limits that upstreams name, as this instance has heard.
+/// Rate limits that upstreams set, as far as this instance knows.
 #[derive(Debug)]
 pub(crate) struct Limits {
-    /// True once any upstream has named one: without, no request waits for the lock.
+    /// True while any upstream has a limit; without one, no request waits for the lock.
     any: AtomicBool,
     known: Mutex<UpstreamLimits>,
-    /// The upstream whose limit could not be read last, so that it is logged once.
+    /// The last upstream whose limit could not be parsed, so that it is logged once.
     unreadable: Mutex<Option<CompactString>>,
-    /// Signals that others are to be told at once.
-    to_tell: Arc<Signal>,
+    /// Makes the next heartbeats go out at once.
+    heartbeat_requested: Arc<Signal>,
 }
 
 impl Limits {
-    pub(crate) fn new(to_tell: Arc<Signal>) -> Limits {
+    pub(crate) fn new(heartbeat_requested: Arc<Signal>) -> Limits {
         Limits {
             any: AtomicBool::new(false),
             known: Mutex::default(),
             unreadable: Mutex::default(),
-            to_tell,
+            heartbeat_requested,
         }
     }
 
-    /// Reads what an answer of an upstream says of its limit.
+    /// Records the limit that an upstream's answer states, or that it states none.
     pub(crate) fn record_answer(
         &self,
         now: MonoTime,
@@ -62,34 +62,40 @@
         match dialect.named_limit(headers) {
             Ok(None) if !self.any() => {}
             Ok(limit) => {
-                let said = LimitNotice {
+                let notice = LimitNotice {
                     start: upstream.start,
                     limit,
                     heard: now,
                 };
-                self.record(now, &upstream.upstream, said, LimitSource::Answer, metrics);
+                self.record(
+                    now,
+                    &upstream.upstream,
+                    notice,
+                    LimitSource::Answer,
+                    metrics,
+                );
             }
             Err(e) => {
                 let mut last = lock(&self.unreadable);
                 if last.as_ref() != Some(&upstream.upstream) {
-                    log::warn!(upstream = upstream.upstream.as_str(), error:% = e; "limit of an upstream cannot be read; what it named before counts");
+                    log::warn!(upstream = upstream.upstream.as_str(), error:% = e; "limit of an upstream cannot be parsed; its previous limit stays in force");
                     *last = Some(upstream.upstream.clone());
                 }
             }
         }
     }
 
-    /// True if any upstream has named a limit.
+    /// True while any upstream has a limit.
     pub(crate) fn any(&self) -> bool {
         self.any.load(Ordering::Relaxed)
     }
 
-    /// The limit that an upstream names.
+    /// The limit of an upstream.
     pub(crate) fn limit(&self, id: &str) -> Option<RequestRate> {
         self.notice(id)?.limit
     }
 
-    /// What was last heard of an upstream's limit that counts.
+    /// The notice on an upstream's limit that is in force.
     pub(crate) fn notice(&self, id: &str) -> Option<LimitNotice> {
         match self.any() {
             true => lock(&self.known).of(id),
@@ -97,17 +103,17 @@
         }
     }
 
-    /// What others are told.
+    /// The notices to pass on to other instances.
     pub(crate) fn notices(&self, now: MonoTime) -> Vec<(CompactString, LimitNotice)> {
         if !self.any() {
             return Vec::new();
         }
         let known = lock(&self.known);
-        let told = known.told(now);
-        told.map(|(id, notice)| (id.into(), notice)).collect()
+        let notices = known.told(now);
+        notices.map(|(id, notice)| (id.into(), notice)).collect()
     }
 
-    /// Forgets the limits of upstreams that have started again or are gone.
+    /// Removes the limits of upstreams that have restarted or are gone.
     pub(crate) fn forget_gone(
         &self,
         now: MonoTime,
@@ -122,17 +128,17 @@
         }
     }
 
-    /// Takes in what an upstream said, and tells others of it if that is news.
+    /// Records a notice, and has it passed on to other instances if it changes anything.
     pub(crate) fn record(
         &self,
         now: MonoTime,
         id: &str,
-        said: LimitNotice,
+        notice: LimitNotice,
         source: LimitSource,
         metrics: &Metrics,
     ) {
         let mut known = lock(&self.known);
-        let Some(change) = known.take(id, said) else {
+        let Some(change) = known.take(id, notice) else {
             return;
         };
         self.any.store(true, Ordering::Relaxed);
@@ -141,10 +147,10 @@
             upstream = id,
             per_s:? = change.now.map(|r| r.per_s()),
             before:? = change.before.map(|r| r.per_s()),
-            heard_ms = now.since(said.heard).as_millis() as u64,
+            heard_ms = now.since(notice.heard).as_millis() as u64,
             source:? = source;
-            "limit of an upstream"
+            "limit of an upstream changed"
         );
-        self.to_tell.give();
+        self.heartbeat_requested.give();
     }
 }
--- a/crates/gateway/src/peer_api.rs
+++ b/crates/gateway/src/peer_api.rs
@@ -1,4 +1,4 @@
-//! Answering other instances.
+//! Server side of the calls between instances.
 
 use std::sync::Arc;
 
@@ -40,7 +40,7 @@
 use crate::stage_batches::StageBatches;
 use crate::state::State;
 
-/// Answers other instances.
+/// Serves the calls of other instances.
 #[derive(Debug)]
 pub(crate) struct PeerApi {
     pub(crate) state: Arc<State>,
@@ -56,10 +56,10 @@
     ) -> Result<tonic::Response<BeatReply>, Status> {
         let beat = req.into_inner();
         let now = self.state.now();
-        let told = peer_quarantine::quarantine_of(beat.quarantine);
+        let updates = peer_quarantine::quarantine_of(beat.quarantine);
         self.state
             .quarantine
-            .apply(now, QuarantineSource::Beat, told);
+            .apply(now, QuarantineSource::Beat, updates);
         peer_limits::record(&self.state, beat.limits);
         let from = Incarnation::new(beat.incarnation);
         self.state.knowledge().instances.heard(
@@ -155,7 +155,7 @@
     }
 }
 
-/// The endpoint for other instances as an HTTP handler.
+/// The gRPC service for other instances as an HTTP handler.
 #[derive(Debug)]
 pub(crate) struct PeerHandler {
     server: GatewayServer<PeerApi>,
--- a/crates/gateway/src/peer_client.rs
+++ b/crates/gateway/src/peer_client.rs
@@ -1,4 +1,4 @@
-//! Talking to other instances.
+//! Client side of the calls between instances.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -34,22 +34,23 @@
 use crate::quarantine::QuarantineSource;
 use crate::state::State;
 
-/// How often an instance tells the others that it is there. Three beats fit
-/// into the time after which an instance counts as silent.
-const BEAT_EVERY: Duration = Duration::from_millis(400);
-/// The pause while no other instance is known: soon after the store was read for
-/// the first time all that it lists are to be heard.
-const BEAT_FIRST: Duration = Duration::from_millis(50);
-/// The shortest pause, however much there is to tell at once: four times the usual beats
-/// while a trouble lasts.
-const BEAT_SOONEST: Duration = Duration::from_millis(100);
-/// How long a part of the records of another instance may take: many that start share its
-/// link.
-const PART_WITHIN: Duration = Duration::from_millis(2_500);
-/// How long a beat may take before its connection is given up.
-const BEAT_WITHIN: Duration = Duration::from_millis(800);
+/// Interval between heartbeats. Three fit into the time after which an instance counts as
+/// silent.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
+/// Interval while no other instance is known, so that all listed instances get a
+/// heartbeat soon after the first read of the store.
+const INITIAL_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(50);
+/// Shortest pause between heartbeats, however many changes there are to tell: four times
+/// the usual rate at most while a fault lasts.
+const MIN_HEARTBEAT_PAUSE: Duration = Duration::from_millis(100);
+/// Timeout for one part of another instance's packed records: many starting instances
+/// share its link.
+const PART_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Timeout of a heartbeat, after which its connection is reset. Other short calls have it
+/// too.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// What this instance says to others.
+/// Calls other instances.
 #[derive(Debug)]
 pub(crate) struct PeerClient {
     state: Arc<State>,
@@ -60,49 +61,51 @@
         PeerClient { state }
     }
 
-    /// Tells all other instances for good that this one is there.
+    /// Sends heartbeats to the watched instances, forever.
     pub(crate) async fn send_heartbeats(self: Arc<Self>) {
-        let mut firsts: BTreeMap<Shard, SocketAddr> = BTreeMap::new();
+        let mut first_owners: BTreeMap<Shard, SocketAddr> = BTreeMap::new();
         loop {
-            self.note_owners(&mut firsts);
+            self.log_owner_changes(&mut first_owners);
             let all: Vec<InstanceEntry> = {
                 let knowledge = self.state.knowledge();
                 knowledge.instances.entries().cloned().collect()
             };
             self.state.channels.retain(&all);
             let pause = match all.is_empty() {
-                true => BEAT_FIRST,
-                false => BEAT_EVERY,
+                true => INITIAL_HEARTBEAT_INTERVAL,
+                false => HEARTBEAT_INTERVAL,
             };
             for peer in self.watched(all) {
                 let peers = Arc::clone(&self);
-                let beating = async move { peers.beat_one(&peer).await };
-                self.state.executor.spawn(beating).detach();
+                let sending = async move { peers.send_heartbeat(&peer).await };
+                self.state.executor.spawn(sending).detach();
             }
-            // What was newly heard of requests and upstreams is told at once.
-            Timer::after(pause.min(BEAT_SOONEST)).await;
-            let soon = &self.state.beat_soon;
-            soon.wait(pause.saturating_sub(BEAT_SOONEST)).await;
+            // New findings on requests and upstreams end the wait early, after the
+            // shortest pause.
+            Timer::after(pause.min(MIN_HEARTBEAT_PAUSE)).await;
+            let heartbeat_requested = &self.state.beat_soon;
+            heartbeat_requested
+                .wait(pause.saturating_sub(MIN_HEARTBEAT_PAUSE))
+                .await;
         }
     }
 
-    /// Logs where this instance asks for stages first, when that changes.
-    fn note_owners(&self, firsts: &mut BTreeMap<Shard, SocketAddr>) {
+    /// Logs the first owner of each watched shard when it changes.
+    fn log_owner_changes(&self, first_owners: &mut BTreeMap<Shard, SocketAddr>) {
         let shards = self.state.watched_shards();
-        firsts.retain(|shard, _| shards.contains(shard));
+        first_owners.retain(|shard, _| shards.contains(shard));
         for shard in shards {
             let order = self.state.owner_order(&shard);
             let Some(first) = order.first() else {
                 continue;
             };
-            if firsts.insert(shard.clone(), *first) != Some(*first) {
+            if first_owners.insert(shard.clone(), *first) != Some(*first) {
                 log::info!(shard:? = shard, owner:% = first; "owner of stages");
             }
         }
     }
 
-    /// Has another instance do the stages of a request; none if it does not
-    /// answer.
+    /// Has another instance run the stages of a request; none if it does not answer.
     pub(crate) async fn run_stages(
         &self,
         owner: SocketAddr,
@@ -111,13 +114,13 @@
     ) -> Option<Result<Vec<CompactString>, JobFailure>> {
         let now = self.state.now();
         let mut client = GatewayClient::new(self.state.channels.channel_to(owner));
-        let asked = peer_stages::stages_request(job, shard, now);
-        let reply = client.run_stages(asked).await.ok()?.into_inner();
+        let req = peer_stages::stages_request(job, shard, now);
+        let reply = client.run_stages(req).await.ok()?.into_inner();
         Some(peer_stages::outcome_of(reply))
     }
 
-    /// Tells another instance that nobody works on these results any more; false
-    /// if it does not answer.
+    /// Tells another instance that these results are no longer needed; false if it does
+    /// not answer.
     pub(crate) async fn release_results(
         &self,
         owner: SocketAddr,
@@ -127,85 +130,86 @@
         let release = ReleaseRequest {
             results: handles.iter().map(CompactString::to_string).collect(),
         };
-        let told = within(BEAT_WITHIN, client.release_results(release)).await;
-        matches!(told, Some(Ok(_)))
+        let reply = within(HEARTBEAT_TIMEOUT, client.release_results(release)).await;
+        matches!(reply, Some(Ok(_)))
     }
 
-    /// Tells what was seen of runs to a coordinator of the quarantine; false if it does not
+    /// Sends a report on runs to a coordinator of the quarantine; false if it does not
     /// answer.
     pub(crate) async fn report_crashes(&self, coordinator: SocketAddr, report: &RunReport) -> bool {
         let mut client = GatewayClient::new(self.state.channels.channel_to(coordinator));
-        let told = peer_quarantine::wire_report(report, self.state.now());
-        let told = within(BEAT_WITHIN, client.report_crashes(told)).await;
-        matches!(told, Some(Ok(_)))
+        let req = peer_quarantine::wire_report(report, self.state.now());
+        let reply = within(HEARTBEAT_TIMEOUT, client.report_crashes(req)).await;
+        matches!(reply, Some(Ok(_)))
     }
 
-    /// Hears another instance's news of the store, or after `wait` that there is
-    /// none; none if it does not answer.
+    /// Gets another instance's store updates, which are empty if there are none within
+    /// `wait`; none if it does not answer.
     pub(crate) async fn follow(&self, id: Incarnation, wait: Duration) -> Option<SourceReply> {
-        let asked = peer_replication::follow_request(&self.state, id, wait);
-        self.ask(id, asked, wait).await
+        let req = peer_replication::follow_request(&self.state, id, wait);
+        self.request(id, req, wait).await
     }
 
-    /// Hears all that another instance knows of the store; none if it does not answer.
+    /// Gets everything that another instance has of the store; none if it does not
+    /// answer.
     pub(crate) async fn fetch_all(&self, id: Incarnation) -> Option<SourceReply> {
-        let asked = FollowRequest {
+        let req = FollowRequest {
             takes_parts: true,
             ..FollowRequest::default()
         };
-        self.ask(id, asked, Duration::ZERO).await
+        self.request(id, req, Duration::ZERO).await
     }
 
-    /// Hears all that the instance at an address knows of the store, or after `wait` that
-    /// it knows nothing; none if it does not answer.
+    /// Gets everything that the instance at an address has of the store, which is empty
+    /// if it has nothing within `wait`; none if it does not answer.
     pub(crate) async fn fetch_all_at(
         &self,
         source: SocketAddr,
         wait: Duration,
     ) -> Option<SourceReply> {
-        let asked = FollowRequest {
+        let req = FollowRequest {
             takes_parts: true,
             wait_ms: u32::try_from(wait.as_millis()).unwrap_or(u32::MAX),
             ..FollowRequest::default()
         };
-        self.ask_at(source, asked, wait).await
+        self.request_from(source, req, wait).await
     }
 
-    async fn ask(
+    async fn request(
         &self,
         id: Incarnation,
-        asked: FollowRequest,
+        req: FollowRequest,
         wait: Duration,
     ) -> Option<SourceReply> {
-        self.ask_at(self.address_of(id)?, asked, wait).await
+        self.request_from(self.address_of(id)?, req, wait).await
     }
 
-    async fn ask_at(
+    async fn request_from(
         &self,
         source: SocketAddr,
-        mut asked: FollowRequest,
+        mut req: FollowRequest,
         wait: Duration,
     ) -> Option<SourceReply> {
         let channel = self.state.channels.channel_to(source);
         let mut client = GatewayClient::new(channel.clone());
         let mut parts = PackedParts::default();
-        let mut patience = wait + BEAT_WITHIN;
+        let mut timeout = wait + HEARTBEAT_TIMEOUT;
         loop {
             let sent = self.state.now();
-            let Some(reply) = within(patience, client.follow(asked)).await else {
-                // The connection may be silent for good while new ones work.
+            let Some(reply) = within(timeout, client.follow(req)).await else {
+                // This connection may hang forever while new ones work.
                 channel.reset();
                 return None;
             };
-            match parts.take(&asked, reply.ok()?.into_inner()) {
+            match parts.take(&req, reply.ok()?.into_inner()) {
                 PartsTaken::Whole(reply) => return peer_replication::decode_reply(sent, *reply),
-                PartsTaken::Asks(next) => asked = next,
+                PartsTaken::Asks(next) => req = next,
                 PartsTaken::Refused => {
-                    log::error!(source:%; "parts of another instance's records cannot be put together; it is asked anew");
+                    log::error!(source:%; "parts of another instance's records do not fit together; requesting all of them again");
                     return None;
                 }
             }
-            patience = PART_WITHIN;
+            timeout = PART_TIMEOUT;
         }
     }
 
@@ -214,7 +218,7 @@
         Some(knowledge.instances.entry(id)?.peers)
     }
 
-    /// The instances that heartbeats are exchanged with, noted as watched.
+    /// Selects the instances to exchange heartbeats with, and marks them as watched.
     fn watched(&self, mut all: Vec<InstanceEntry>) -> Vec<InstanceEntry> {
         let shards = self.state.watched_shards();
         let source = self.state.news_source().instance();
@@ -225,7 +229,7 @@
         all
     }
 
-    async fn beat_one(&self, peer: &InstanceEntry) {
+    async fn send_heartbeat(&self, peer: &InstanceEntry) {
         let channel = self.state.channels.channel_to(peer.peers);
         let mut client = GatewayClient::new(channel.clone());
         let beat = BeatRequest {
@@ -237,24 +241,24 @@
             limits: peer_limits::wire_limits(&self.state),
         };
         let sent = self.state.now();
-        match within(BEAT_WITHIN, client.beat(beat)).await {
-            Some(Ok(reply)) => self.take_reply(peer, sent, reply.into_inner()),
+        match within(HEARTBEAT_TIMEOUT, client.beat(beat)).await {
+            Some(Ok(reply)) => self.apply_heartbeat_reply(peer, sent, reply.into_inner()),
             Some(Err(_)) => {}
-            // The connection may be silent for good while new ones work.
+            // This connection may hang forever while new ones work.
             None => channel.reset(),
         }
     }
 
-    fn take_reply(&self, peer: &InstanceEntry, sent: MonoTime, reply: BeatReply) {
+    fn apply_heartbeat_reply(&self, peer: &InstanceEntry, sent: MonoTime, reply: BeatReply) {
         let now = self.state.now();
-        let told = peer_quarantine::quarantine_of(reply.quarantine);
+        let updates = peer_quarantine::quarantine_of(reply.quarantine);
         self.state
             .quarantine
-            .apply(now, QuarantineSource::Beat, told);
+            .apply(now, QuarantineSource::Beat, updates);
         peer_limits::record(&self.state, reply.limits);
         let mut knowledge = self.state.knowledge();
-        // The reply was made after the beat was sent, so the question that it
-        // tells of was put at that moment less its age or later.
+        // The reply was made after the heartbeat was sent. So the age of its proof,
+        // counted back from `sent`, never makes the proof look more recent than it is.
         if let Some(proof) = reply.proof {
             knowledge
                 .freshness
@@ -274,20 +278,20 @@
                 knowledge.instances.told(now, entry);
             }
         }
-        let said = Heartbeat {
+        let heartbeat = Heartbeat {
             leaving: reply.leaving,
             ready: reply.ready,
             has_read: reply.has_read,
         };
         match Incarnation::new(reply.incarnation) {
             id if id == peer.incarnation => {
-                knowledge.instances.heard(now, id, said);
+                knowledge.instances.heard(now, id, heartbeat);
                 knowledge.note_version(now, id, reply.version);
             }
             later => {
                 let instances = &mut knowledge.instances;
                 instances.started_anew(now, peer.incarnation, later);
-                instances.heard(now, later, said);
+                instances.heard(now, later, heartbeat);
             }
         }
     }
--- a/crates/gateway/src/peer_instance.rs
+++ b/crates/gateway/src/peer_instance.rs
@@ -1,4 +1,4 @@
-//! Instances in messages between instances.
+//! Converts instance entries to and from messages between instances.
 
 use jd_serving::InstanceEntry;
 use jd_serving::Strength;
@@ -6,7 +6,7 @@
 use jd_types::Name;
 use jd_wire::Instance;
 
-/// An instance as a message names it.
+/// Encodes an instance entry.
 pub(crate) fn wire_instance(entry: &InstanceEntry) -> Instance {
     Instance {
         incarnation: entry.incarnation.get(),
@@ -17,7 +17,7 @@
     }
 }
 
-/// The instance that a message names; none if it is not whole.
+/// Decodes an instance entry; none if a field is missing or not valid.
 pub(crate) fn instance_of(instance: &Instance) -> Option<InstanceEntry> {
     Some(InstanceEntry {
         incarnation: Incarnation::new(instance.incarnation),
--- a/crates/gateway/src/peer_limits.rs
+++ b/crates/gateway/src/peer_limits.rs
@@ -1,4 +1,4 @@
-//! Limits of upstreams, and permits to send to them, in messages between instances.
+//! Converts upstream limits and permits to and from messages between instances.
 
 use std::time::Duration;
 
@@ -14,24 +14,25 @@
 use crate::run_events::UpstreamRef;
 use crate::state::State;
 
-/// The most limits that one heartbeat tells, those first that were heard last.
-const MOST_TOLD: usize = 256;
+/// Most limits in one heartbeat; the most recent notices go first.
+const MAX_LIMITS_PER_HEARTBEAT: usize = 256;
 
-/// What this instance has heard of limits, for a heartbeat.
+/// The limits that this instance knows, for a heartbeat.
 pub(crate) fn wire_limits(state: &State) -> Vec<UpstreamLimit> {
     let now = state.now();
-    let mut told = state.limits.notices(now);
-    told.sort_unstable_by_key(|(_, notice)| now.since(notice.heard));
-    told.truncate(MOST_TOLD);
-    let told = told.into_iter();
-    told.map(|(id, notice)| wire_limit(&id, notice, now))
+    let mut limits = state.limits.notices(now);
+    limits.sort_unstable_by_key(|(_, notice)| now.since(notice.heard));
+    limits.truncate(MAX_LIMITS_PER_HEARTBEAT);
+    let limits = limits.into_iter();
+    limits
+        .map(|(id, notice)| wire_limit(&id, notice, now))
         .collect()
 }
 
-/// Takes in what another instance has heard.
-pub(crate) fn record(state: &State, told: impl IntoIterator<Item = UpstreamLimit>) {
+/// Records limits that another instance knows.
+pub(crate) fn record(state: &State, limits: impl IntoIterator<Item = UpstreamLimit>) {
     let now = state.now();
-    for limit in told {
+    for limit in limits {
         match notice_of(&limit, now) {
             Some(notice) => {
                 let limits = &state.limits;
@@ -44,13 +45,13 @@
                 );
             }
             None => {
-                log::debug!(upstream = limit.upstream.as_str(); "limit told by another instance is no rate; it is left out");
+                log::debug!(upstream = limit.upstream.as_str(); "limit from another instance is not a valid rate; ignored");
             }
         }
     }
 }
 
-/// The message that asks for a permit.
+/// Builds a permit request.
 pub(crate) fn permit_request(
     upstream: &UpstreamRef,
     notice: LimitNotice,
@@ -63,7 +64,7 @@
     }
 }
 
-/// Decides on a permit that another instance asks for.
+/// Answers another instance's permit request.
 pub(crate) fn handle_permit_request(state: &State, req: PermitRequest) -> PermitReply {
     let now = state.now();
     let priority = u8::try_from(req.priority).unwrap_or(u8::MAX);
@@ -83,7 +84,7 @@
     }
 }
 
-/// The decision that a message tells.
+/// Reads a permit reply, and records the limit that it carries.
 pub(crate) fn permit_decision(state: &State, reply: PermitReply) -> Result<(), Duration> {
     record(state, reply.limit);
     match reply.granted {
@@ -102,7 +103,7 @@
     }
 }
 
-/// What a message says of a limit; none if that is no rate.
+/// Reads a limit from a message; none if its rate is not valid.
 fn notice_of(limit: &UpstreamLimit, now: MonoTime) -> Option<LimitNotice> {
     let start = match limit.start_ms {
         0 => UpstreamStart::UNTOLD,
--- a/crates/gateway/src/peer_quarantine.rs
+++ b/crates/gateway/src/peer_quarantine.rs
@@ -1,4 +1,4 @@
-//! Ends of upstreams, and what is held against requests, in messages between instances.
+//! Converts crash reports and quarantines to and from messages between instances.
 
 use std::time::Duration;
 
@@ -19,14 +19,14 @@
 use crate::quarantine::Quarantine;
 use crate::quarantine::QuarantineUpdate;
 
-/// What one instance tells the coordinators.
+/// An instance's report to the coordinators of the quarantine.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct RunReport {
     pub(crate) ends: Vec<UpstreamEnd>,
     pub(crate) completed_runs: Vec<CompletedRun>,
 }
 
-/// The message that tells it; times are counted back from `now`.
+/// Encodes a report; times are given as their age at `now`.
 pub(crate) fn wire_report(report: &RunReport, now: MonoTime) -> CrashReport {
     let ends = report.ends.iter().map(|end| WireEnd {
         service: end.service.to_string(),
@@ -53,7 +53,7 @@
     }
 }
 
-/// What such a message says, now.
+/// Decodes a report that arrived at `now`.
 pub(crate) fn report_of(req: CrashReport, now: MonoTime) -> RunReport {
     let ago = |ms: u32| now.before(Duration::from_millis(u64::from(ms)));
     let run_of = |run: WireRun| BrokenRun {
@@ -81,10 +81,10 @@
     }
 }
 
-/// All that is held here against requests, for a heartbeat.
+/// All quarantine states of this instance, for a heartbeat.
 pub(crate) fn wire_quarantine(quarantine: &Quarantine, now: MonoTime) -> Vec<WireQuarantine> {
     let list = quarantine.list();
-    let told = list.all(now).map(|(content, held)| WireQuarantine {
+    let states = list.all(now).map(|(content, held)| WireQuarantine {
         content: content.number(),
         round: held.state.round,
         phase: match held.state.phase {
@@ -94,27 +94,27 @@
         },
         lapses_in_ms: millis(held.lapses.since(now)),
     });
-    told.collect()
+    states.collect()
 }
 
-/// What a heartbeat holds against requests; what a later version says and this one does
-/// not know is left out.
-pub(crate) fn quarantine_of(told: Vec<WireQuarantine>) -> impl Iterator<Item = QuarantineUpdate> {
-    told.into_iter().filter_map(|t| {
-        let phase = match t.phase {
+/// Decodes the quarantine states of a heartbeat; phases of a later version that are
+/// unknown here are left out.
+pub(crate) fn quarantine_of(states: Vec<WireQuarantine>) -> impl Iterator<Item = QuarantineUpdate> {
+    states.into_iter().filter_map(|wire| {
+        let phase = match wire.phase {
             1 => QuarantinePhase::Suspected,
             2 => QuarantinePhase::Quarantined,
             3 => QuarantinePhase::Released,
             _ => return None,
         };
         let state = QuarantineState {
-            round: t.round,
+            round: wire.round,
             phase,
         };
         Some(QuarantineUpdate {
-            content: Content::from_number(t.content),
+            content: Content::from_number(wire.content),
             state,
-            left: Duration::from_millis(u64::from(t.lapses_in_ms)),
+            left: Duration::from_millis(u64::from(wire.lapses_in_ms)),
         })
     })
 }
--- a/crates/gateway/src/peer_replication.rs
+++ b/crates/gateway/src/peer_replication.rs
@@ -1,4 +1,4 @@
-//! News of the store, from instance to instance.
+//! Store updates passed on from instance to instance.
 
 use std::time::Duration;
 
@@ -20,26 +20,26 @@
 
 use crate::state::State;
 
-/// How much younger another's proof has to be to be worth an answer: a part of
-/// the time after which a new one is asked for.
-const YOUNGER_BY: Duration = Duration::from_millis(300);
+/// How much more recent a proof must be than the requester's to be worth an answer of its
+/// own: a part of the interval at which a new proof is requested.
+const MIN_PROOF_GAIN: Duration = Duration::from_millis(300);
 
-/// All records are packed anew once one in so many of them was written since; until then
-/// these are sent beside the piece. A part of all, so that packing costs no more for each
-/// change where there are more records.
-const PACKED_BEHIND: usize = 16;
+/// A packed snapshot is rebuilt once more than this fraction of the records was written
+/// since; until then the later changes are sent beside it. A fraction, so that packing
+/// does not cost more for each change where there are more records.
+const REPACK_FRACTION: usize = 16;
 
-/// What another instance knows of the store.
+/// Another instance's answer to a follow request.
 #[derive(Debug)]
 pub(crate) struct SourceReply {
-    /// In the order in which it is to be taken in.
-    pub(crate) news: Vec<News>,
+    /// In the order in which they are to be applied.
+    pub(crate) updates: Vec<News>,
     pub(crate) proof: Option<Proof>,
-    /// True while the store does not answer it.
-    pub(crate) store_away: bool,
+    /// True while the store is unavailable to that instance.
+    pub(crate) store_unavailable: bool,
 }
 
-/// The question for another's news, by what is known here.
+/// Builds the follow request to another instance from this instance's state.
 pub(crate) fn follow_request(state: &State, id: Incarnation, wait: Duration) -> FollowRequest {
     let now = state.now();
     let knowledge = state.knowledge();
@@ -57,12 +57,13 @@
     }
 }
 
-/// Reads the answer to a question that was sent at `sent`; none if it is damaged.
+/// Decodes the reply to a request that was sent at `sent`; none if it is damaged.
 pub(crate) fn decode_reply(sent: MonoTime, reply: FollowReply) -> Option<SourceReply> {
-    // The question came after it was sent and was answered that much later, so
-    // what the proof tells of was asked then less its age or later.
+    // The request arrived at or after `sent` and was answered `waited_ms` later. So the
+    // age of the proof, counted back from this moment, never makes the proof look more
+    // recent than it is.
     let answered = sent + Duration::from_millis(u64::from(reply.waited_ms));
-    let all = match reply.packed.as_slice() {
+    let snapshot = match reply.packed.as_slice() {
         [] => None,
         packed => match jd_wire::unpack(packed) {
             Ok(items) => Some(News {
@@ -71,20 +72,20 @@
                 revision: at(reply.packed_era, reply.packed_revision),
             }),
             Err(e) => {
-                log::error!(error:% = e; "news of another instance not understood");
+                log::error!(error:% = e; "packed records of another instance cannot be decoded");
                 return None;
             }
         },
     };
-    let newer = News {
+    let changes = News {
         whole: reply.whole,
         items: items_of(reply.items),
         revision: at(reply.era, reply.revision),
     };
     Some(SourceReply {
-        news: all.into_iter().chain([newer]).collect(),
+        updates: snapshot.into_iter().chain([changes]).collect(),
         proof: reply.proof.map(|p| proof_at(answered, p)),
-        store_away: reply.store_away,
+        store_unavailable: reply.store_away,
     })
 }
 
@@ -109,42 +110,46 @@
     items.collect()
 }
 
-/// All records, packed once for many.
+/// All records as one packed snapshot, which serves many requests.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct PackedSnapshot {
     revision: StoreRevision,
     bytes: Bytes,
 }
 
-/// What is told to instances that start.
+/// Snapshots for instances that start.
 #[derive(Debug, Default)]
 pub(crate) struct PackedSnapshots {
     latest: PackedSnapshot,
-    /// The one before, for those that have a part of it.
+    /// The previous snapshot, for instances that have received a part of it.
     earlier: PackedSnapshot,
 }
 
-/// All records, packed, for somebody who knows only what was up to `after`; none if
-/// single records do. Made anew only when many have changed since.
+/// The packed snapshot for an instance that has everything up to `after`; none if sending
+/// single records is enough. Rebuilt only when many records have changed since.
 ///
-/// The load that it answers: all instances of a fleet start at once. Each read a
-/// megabyte from the store, 2.7 s of its link at 300 instances.
+/// Keeps the load small when all instances of a fleet start at once: when each of 300
+/// instances read a megabyte from the store, that took 2.7 s of its link.
 ///
-/// One who `has` a part of the piece that was packed before is told the rest of it.
-fn packed(state: &State, after: StoreRevision, has: StoreRevision) -> Option<PackedSnapshot> {
-    let mut pieces = lock(&state.packed);
+/// An instance that `has` a part of the previous snapshot is sent the rest of it.
+fn packed_snapshot(
+    state: &State,
+    after: StoreRevision,
+    has: StoreRevision,
+) -> Option<PackedSnapshot> {
+    let mut snapshots = lock(&state.packed);
     let knowledge = state.knowledge();
     let mirror = &knowledge.mirror;
     if mirror.revision() == StoreRevision::NOTHING || !mirror.is_behind(after) {
         return None;
     }
-    let PackedSnapshots { latest, earlier } = &*pieces;
+    let PackedSnapshots { latest, earlier } = &*snapshots;
     if has == earlier.revision && !earlier.bytes.is_empty() && !mirror.is_behind(has) {
         return Some(earlier.clone());
     }
     let packed = latest;
     let is_old = mirror.is_behind(packed.revision)
-        || mirror.written_after(packed.revision) > mirror.records() / PACKED_BEHIND
+        || mirror.written_after(packed.revision) > mirror.records() / REPACK_FRACTION
         || packed.bytes.is_empty();
     if is_old {
         let all = mirror.since(StoreRevision::NOTHING);
@@ -155,7 +160,7 @@
                     revision: all.revision,
                     bytes: bytes.into(),
                 };
-                pieces.earlier = std::mem::replace(&mut pieces.latest, latest);
+                snapshots.earlier = std::mem::replace(&mut snapshots.latest, latest);
             }
             Err(e) => {
                 log::error!(error:% = e; "records cannot be packed; they are sent one by one");
@@ -163,84 +168,91 @@
             }
         }
     }
-    Some(pieces.latest.clone())
+    Some(snapshots.latest.clone())
 }
 
-/// Answers another instance's question once there is something to tell, and at once where
-/// that is that the store is lost.
+/// Answers another instance's follow request: when there are changes or a newer proof, or
+/// at once when the state of the store's availability differs from what the requester
+/// knows.
 ///
-/// Guards against a chain of instances that have all lost it: each was asked in turn and
-/// told after the whole wait, so that a zone was five seconds behind the store.
+/// Guards against a chain of instances that have all lost the store: each was asked in
+/// turn and said so only after the whole wait, so that a zone was five seconds behind the
+/// store.
 pub(crate) async fn handle_follow(state: &State, req: FollowRequest) -> FollowReply {
-    let came = state.now();
+    let received = state.now();
     if at(req.after_era, req.after) == StoreRevision::NOTHING && !state.has_read() {
         state.all_wanted.give();
     }
-    let until = came + Duration::from_millis(u64::from(req.wait_ms));
-    let away = req.knows_away;
+    let until = received + Duration::from_millis(u64::from(req.wait_ms));
+    let knows_unavailable = req.knows_away;
     loop {
-        let news = state.news.listen();
+        let changed = state.news.listen();
         let left = until.since(state.now());
-        if left.is_zero() || is_news(state, came, &req, away) {
+        if left.is_zero() || has_update(state, received, &req, knows_unavailable) {
             break;
         }
-        let late = async {
+        let timed_out = async {
             Timer::after(left).await;
         };
-        news.or(late).await;
+        changed.or(timed_out).await;
     }
     let asked = at(req.after_era, req.after);
     let has = at(req.has_era, req.has_revision);
-    let packed = packed(state, asked, has).unwrap_or_default();
+    let packed = packed_snapshot(state, asked, has).unwrap_or_default();
     let mut reply = FollowReply {
         store_away: state.has_lost_store(),
         proof: wire_proof(state),
-        waited_ms: millis(state.now().since(came)),
+        waited_ms: millis(state.now().since(received)),
         packed_revision: packed.revision.revision,
         packed_era: packed.revision.era,
         ..FollowReply::default()
     };
     if jd_wire::put_part(&mut reply, &packed.bytes, &req) {
-        let news = state.knowledge().mirror.since(asked.max(packed.revision));
-        reply.revision = news.revision.revision;
-        reply.era = news.revision.era;
-        reply.whole = news.whole;
-        reply.items = wire_items(news.items);
+        let update = state.knowledge().mirror.since(asked.max(packed.revision));
+        reply.revision = update.revision.revision;
+        reply.era = update.revision.era;
+        reply.whole = update.whole;
+        reply.items = wire_items(update.items);
     }
     reply
 }
 
-fn is_news(state: &State, came: MonoTime, req: &FollowRequest, away: bool) -> bool {
-    if state.has_lost_store() != away {
+fn has_update(
+    state: &State,
+    received: MonoTime,
+    req: &FollowRequest,
+    knows_unavailable: bool,
+) -> bool {
+    if state.has_lost_store() != knows_unavailable {
         return true;
     }
     let knowledge = state.knowledge();
-    let theirs = req.proof.map(|p| proof_at(came, p).asked);
-    // It counts there only if it is of the same era.
+    let theirs = req.proof.map(|p| proof_at(received, p).asked);
+    // The requester can use a proof only if it is of the same era.
     let ours = knowledge.freshness.proof();
     let ours = ours.filter(|p| p.revision.era == req.after_era);
     let ours = ours.map(|p| p.asked);
-    let younger = match (ours, theirs) {
-        (Some(ours), Some(theirs)) => ours > theirs + YOUNGER_BY,
+    let is_newer = match (ours, theirs) {
+        (Some(ours), Some(theirs)) => ours > theirs + MIN_PROOF_GAIN,
         (ours, None) => ours.is_some(),
         (None, Some(_)) => false,
     };
-    younger || knowledge.mirror.revision() > at(req.after_era, req.after)
+    is_newer || knowledge.mirror.revision() > at(req.after_era, req.after)
 }
 
-/// The youngest proof of what is in force, with its age.
+/// The most recent proof, with its age.
 pub(crate) fn wire_proof(state: &State) -> Option<WireProof> {
     let proof = state.knowledge().freshness.proof()?;
     let age = state.now().since(proof.asked);
     Some(WireProof {
         revision: proof.revision.revision,
         era: proof.revision.era,
-        // Rounded up: proof must never seem younger than it is.
+        // Rounded up, because a proof must never look more recent than it is.
         ms_ago: millis(age).saturating_add(1),
     })
 }
 
-/// A proof of another instance, whose age counts back from `moment`.
+/// A proof from another instance, whose age counts back from `moment`.
 pub(crate) fn proof_at(moment: MonoTime, proof: WireProof) -> Proof {
     Proof {
         asked: moment.before(Duration::from_millis(u64::from(proof.ms_ago))),
--- a/crates/gateway/src/peer_stages.rs
+++ b/crates/gateway/src/peer_stages.rs
@@ -1,4 +1,4 @@
-//! Stages of requests in messages between instances.
+//! Converts stages of requests to and from messages between instances.
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
 use jd_wire::StagesRequest;
 use tonic::Status;
 
-/// A shard as a message names it.
+/// Encodes a shard.
 pub(crate) fn wire_shard(shard: &Shard) -> WireShard {
     WireShard {
         zone: shard.zone.as_ref().map_or("", Name::as_str).into(),
@@ -26,17 +26,17 @@
     }
 }
 
-/// The shard that a message names.
+/// Decodes a shard.
 pub(crate) fn shard_of(shard: WireShard) -> Shard {
     Shard {
-        // Empty for all zones together.
+        // The name is empty if the shard covers all zones.
         zone: Name::try_from(shard.zone.as_str()).ok(),
         part: shard.part,
         parts: shard.parts,
     }
 }
 
-/// The message that asks for stages; times are counted from `now`.
+/// Encodes a job; times are given as the time left at `now`.
 pub(crate) fn stages_request(job: &StageJob, shard: &Shard, now: MonoTime) -> StagesRequest {
     let millis = |d: Duration| u32::try_from(d.as_millis()).unwrap_or(u32::MAX);
     let stages = job.stages.iter().map(|s| Stage {
@@ -61,7 +61,7 @@
     }
 }
 
-/// What the answer to it says.
+/// Decodes the reply to a job.
 pub(crate) fn outcome_of(reply: StagesReply) -> Result<Vec<CompactString>, JobFailure> {
     let wait = Duration::from_millis(u64::from(reply.retry_after_ms));
     match reply.failure {
@@ -75,7 +75,7 @@
     }
 }
 
-/// The stages that a message asks for, now.
+/// Decodes a job that arrived at `now`.
 pub(crate) fn job_of(req: StagesRequest, now: MonoTime) -> Result<StageJob, Status> {
     let count = req.stages.len();
     let mut stages = Vec::with_capacity(count);
@@ -103,7 +103,7 @@
     })
 }
 
-/// The answer where stages could not be done.
+/// Encodes the failure of a job.
 pub(crate) fn failure_reply(failure: JobFailure) -> StagesReply {
     let (failure, wait) = match failure {
         JobFailure::WouldMiss(wait) => (1, wait),
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -1,4 +1,4 @@
-//! What this instance holds against requests.
+//! Quarantines of requests, as this instance knows them.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -18,10 +18,10 @@
 use crate::run_events::RunEvents;
 use crate::signal::Signal;
 
-/// From whom a state was heard.
+/// Where a quarantine state came from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum QuarantineSource {
-    /// Decided here.
+    /// Decided by this instance.
     Own,
     /// Another instance's heartbeat.
     Beat,
@@ -29,39 +29,39 @@
     Store,
 }
 
-/// The state of a request as it is told.
+/// A quarantine state as instances and the store exchange it.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct QuarantineUpdate {
     pub(crate) content: Content,
     pub(crate) state: QuarantineState,
-    /// Until it lapses.
+    /// Time until it expires.
     pub(crate) left: Duration,
 }
 
-/// What is held against requests, read on the path of each of them.
+/// Suspected, quarantined and released requests; checked on the path of each request.
 #[derive(Debug)]
 pub(crate) struct Quarantine {
     list: ArcSwap<QuarantineList>,
     recent: Mutex<RecentRuns>,
     pub(crate) run_events: RunEvents,
-    /// Signals that others are to be told at once, and that who remembers a run of a
-    /// suspect is to say so.
-    to_tell: Arc<Signal>,
-    pub(crate) runs_wanted: Signal,
+    /// `heartbeat_requested` makes the next heartbeats go out at once. `runs_requested`
+    /// has this instance report the runs that it remembers of suspected requests.
+    heartbeat_requested: Arc<Signal>,
+    pub(crate) runs_requested: Signal,
 }
 
 impl Quarantine {
-    pub(crate) fn new(to_tell: Arc<Signal>) -> Quarantine {
+    pub(crate) fn new(heartbeat_requested: Arc<Signal>) -> Quarantine {
         Quarantine {
             list: ArcSwap::default(),
             recent: Mutex::default(),
             run_events: RunEvents::new(),
-            to_tell,
-            runs_wanted: Signal::new(),
+            heartbeat_requested,
+            runs_requested: Signal::new(),
         }
     }
 
-    /// For how long a request is kept from upstreams; none if it is not.
+    /// How long a request is still kept from upstreams; none if it is not quarantined.
     pub(crate) fn time_left(&self, now: MonoTime, content: Content) -> Option<Duration> {
         let list = self.list.load();
         match list.is_empty() {
@@ -74,35 +74,35 @@
         self.list.load_full()
     }
 
-    /// Takes in what is told.
+    /// Applies updates; those that are not newer than the known state are ignored.
     pub(crate) fn apply(
         &self,
         now: MonoTime,
         source: QuarantineSource,
-        told: impl IntoIterator<Item = QuarantineUpdate>,
+        updates: impl IntoIterator<Item = QuarantineUpdate>,
     ) {
-        for t in told {
-            let known = self.list.load().of(now, t.content);
-            if known.is_some_and(|h| h.state >= t.state) {
+        for update in updates {
+            let known = self.list.load().of(now, update.content);
+            if known.is_some_and(|held| held.state >= update.state) {
                 continue;
             }
-            let mut is_news = false;
-            self.list.rcu(|s| {
-                let mut next = QuarantineList::clone(s);
-                is_news = next.take(now, t.content, t.state, t.left);
+            let mut is_new = false;
+            self.list.rcu(|list| {
+                let mut next = QuarantineList::clone(list);
+                is_new = next.take(now, update.content, update.state, update.left);
                 next
             });
-            if is_news {
-                self.runs_wanted.give();
-                self.to_tell.give();
+            if is_new {
+                self.runs_requested.give();
+                self.heartbeat_requested.give();
             }
-            // Suspicions are logged where they arise: there can be many.
-            if is_news && t.state.phase != QuarantinePhase::Suspected {
+            // Suspicions are logged only where they arise, because there can be many.
+            if is_new && update.state.phase != QuarantinePhase::Suspected {
                 log::warn!(
-                    content:% = t.content,
-                    phase = t.state.phase.as_str(),
-                    round = t.state.round,
-                    lapses_in_s = t.left.as_secs(),
+                    content:% = update.content,
+                    phase = update.state.phase.as_str(),
+                    round = update.state.round,
+                    lapses_in_s = update.left.as_secs(),
                     source:? = source;
                     "quarantine changed"
                 );
@@ -110,32 +110,32 @@
         }
     }
 
-    /// The store has this of a request; none if nothing any more.
+    /// Notes the state that the store holds for a request; none if it holds none.
     pub(crate) fn set_stored(&self, content: Content, state: Option<QuarantineState>) {
-        self.list.rcu(|s| {
-            let mut next = QuarantineList::clone(s);
+        self.list.rcu(|list| {
+            let mut next = QuarantineList::clone(list);
             next.stored(content, state);
             next
         });
     }
 
-    /// The store has something of these requests and of no others.
+    /// Notes that the store holds states for these requests and no others.
     pub(crate) fn retain_stored(&self, stored: &[Content]) {
         if self.list.load().is_empty() {
             return;
         }
-        self.list.rcu(|s| {
-            let mut next = QuarantineList::clone(s);
+        self.list.rcu(|list| {
+            let mut next = QuarantineList::clone(list);
             next.relist(stored);
             next
         });
     }
 
-    /// A request ran to its end at a service.
+    /// Notes that a request completed a run at a service.
     pub(crate) fn record_completed(&self, now: MonoTime, service: &str, content: Content) {
         lock(&self.recent).note(now, service, content);
         let held = self.list.load().of(now, content);
-        if held.is_some_and(|h| h.state.is_open()) {
+        if held.is_some_and(|held| held.state.is_open()) {
             self.run_events.add(RunEvent::Ran(CompletedRun {
                 service: service.into(),
                 content,
@@ -144,10 +144,10 @@
         }
     }
 
-    /// What ran well here lately of that against which something is held.
+    /// Recently completed runs of requests that are suspected or quarantined.
     pub(crate) fn recent_runs(&self, now: MonoTime) -> Vec<CompletedRun> {
         let list = self.list.load();
-        let open = list.all(now).filter(|(_, h)| h.state.is_open());
+        let open = list.all(now).filter(|(_, held)| held.state.is_open());
         let recent = lock(&self.recent);
         open.flat_map(|(content, _)| recent.of(now, content))
             .collect()
--- a/crates/gateway/src/quarantine_coordinator.rs
+++ b/crates/gateway/src/quarantine_coordinator.rs
@@ -1,5 +1,4 @@
-//! Deciding which requests end the upstreams that run them, on the instance that does so
-//! for all.
+//! Decides for the whole fleet which requests crash the upstreams that run them.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -28,25 +27,28 @@
 use crate::store_link::CALL_TIMEOUT;
 use crate::store_link::StoreLink;
 
-/// How often it is looked whether time has brought a finding.
-const LOOK_EVERY: Duration = Duration::from_millis(250);
-/// The same where there is nothing to look at, until something is told: this instance may
-/// have come to be the one that keeps quarantines.
-const LOOK_IDLE: Duration = Duration::from_secs(2);
-/// What is held for less is not worth a lease: the store takes none under a second.
-const LEAST_LEASE: Duration = Duration::from_secs(2);
-/// Pause after the store did not take a change. All instances know it meanwhile.
-const WRITE_AGAIN: Duration = Duration::from_millis(1_000);
+/// Interval between evaluations of the evidence: findings also depend on the time that
+/// has passed.
+const EVALUATE_INTERVAL: Duration = Duration::from_millis(250);
+/// The same while there is no evidence and no quarantine, until a report arrives: this
+/// instance may have become the one that writes quarantines to the store.
+const IDLE_INTERVAL: Duration = Duration::from_secs(2);
+/// Least remaining time at which a quarantine is written to the store: the store grants
+/// no lease of under a second.
+const MIN_LEASE: Duration = Duration::from_secs(2);
+/// Pause after a write to the store failed. All instances know of the quarantine
+/// meanwhile through heartbeats.
+const WRITE_RETRY_PAUSE: Duration = Duration::from_millis(1_000);
 
-/// Decides on the quarantine while this instance is the first in order, and keeps the evidence
-/// for that while it is one of the next.
+/// Decides on quarantines while this instance is the first coordinator, and collects the
+/// evidence while it is one of the next.
 #[derive(Debug)]
 pub(crate) struct QuarantineCoordinator {
     link: Arc<StoreLink>,
     evidence: Mutex<CrashEvidence>,
-    /// Requests that this instance itself has quarantined.
-    held_here: Mutex<HashSet<Content>>,
-    told: Signal,
+    /// Requests that this instance itself put under quarantine.
+    decided_here: Mutex<HashSet<Content>>,
+    report_received: Signal,
 }
 
 impl QuarantineCoordinator {
@@ -54,12 +56,12 @@
         QuarantineCoordinator {
             link,
             evidence: Mutex::default(),
-            held_here: Mutex::default(),
-            told: Signal::new(),
+            decided_here: Mutex::default(),
+            report_received: Signal::new(),
         }
     }
 
-    /// Takes in what an instance saw.
+    /// Adds an instance's report to the evidence, and releases requests that it clears.
     pub(crate) fn record_report(&self, report: RunReport) {
         let state = &self.link.state;
         let now = state.now();
@@ -69,7 +71,7 @@
         }
         let mut cleared = Vec::new();
         for run in report.completed_runs {
-            if evidence.completed(&run) || self.is_later(now, &run) {
+            if evidence.completed(&run) || self.completed_after_hold(now, &run) {
                 cleared.push(run.content);
             }
         }
@@ -79,15 +81,17 @@
                 self.release(now, content, "it ran to its end");
             }
         }
-        self.told.give();
+        self.report_received.give();
     }
 
-    /// True if a request ran well after something was held against it. So one that was
-    /// quarantined by an instance that is lost, with its evidence, may be released.
+    /// True if a request completed a run after it was suspected or quarantined. This
+    /// releases a request whose quarantine was decided by an instance that is lost
+    /// together with its evidence.
     ///
-    /// Guards against the pieces of its stages, which run well at other services before
-    /// it ends each upstream that runs itself: each released it.
-    fn is_later(&self, now: MonoTime, run: &CompletedRun) -> bool {
+    /// Runs of stage pieces do not count: the pieces of a request complete at other
+    /// services before it crashes each upstream that runs the request itself, and each of
+    /// them released it.
+    fn completed_after_hold(&self, now: MonoTime, run: &CompletedRun) -> bool {
         if self.link.state.does_stages(&run.service) {
             return false;
         }
@@ -96,28 +100,28 @@
         held.is_some_and(|h| run.at > h.since())
     }
 
-    /// Looks for good at what ended, and keeps the quarantine in the store.
+    /// Evaluates the evidence and writes quarantines to the store, forever.
     pub(crate) async fn run(self: Arc<Self>) {
-        let mut write_from = MonoTime::ZERO;
+        let mut next_write = MonoTime::ZERO;
         loop {
             let pause = match self.is_idle() {
-                true => LOOK_IDLE,
-                false => LOOK_EVERY,
+                true => IDLE_INTERVAL,
+                false => EVALUATE_INTERVAL,
             };
-            self.told.wait(pause).await;
-            self.look();
+            self.report_received.wait(pause).await;
+            self.evaluate();
             let now = self.link.state.now();
-            if self.is_idle() || now < write_from || !self.is_first() {
+            if self.is_idle() || now < next_write || !self.is_first() {
                 continue;
             }
             if let Err(e) = self.write(now).await {
-                log::info!(error:% = e; "quarantine not in the store yet; it is tried again");
-                write_from = self.link.state.now() + WRITE_AGAIN;
+                log::info!(error:% = e; "quarantine could not be written to the store; retrying");
+                next_write = self.link.state.now() + WRITE_RETRY_PAUSE;
             }
         }
     }
 
-    /// True while there is nothing to look at and nothing to keep.
+    /// True while there is no evidence to evaluate and no quarantine to write.
     fn is_idle(&self) -> bool {
         let state = &self.link.state;
         let pending = lock(&self.evidence).is_pending(state.now());
@@ -129,15 +133,15 @@
         state.coordinators().first() == Some(&state.me.peers)
     }
 
-    fn look(&self) {
+    fn evaluate(&self) {
         let state = &self.link.state;
         let now = state.now();
         let mut evidence = lock(&self.evidence);
         if !evidence.is_pending(now) {
             return;
         }
-        // An instance that is cut off takes upstreams for ended that are not, and finds
-        // itself the first in order. What it held would hold for all.
+        // An instance that is cut off takes running upstreams for crashed and itself for
+        // the first coordinator. Its decisions would apply to all instances.
         if !state.is_fresh() || state.has_lost_store() {
             return;
         }
@@ -145,9 +149,10 @@
         evidence.check(now, |id, start| table.start_of(id) == Some(start));
         let findings = evidence.findings(now);
         drop(evidence);
-        // Who held it has the evidence, and may not be the first any more.
+        // The instance that decided on the quarantine has the evidence, and may no longer
+        // be the first coordinator.
         for content in findings.released {
-            if lock(&self.held_here).remove(&content) {
+            if lock(&self.decided_here).remove(&content) {
                 self.release(now, content, "its ends have another cause");
             }
         }
@@ -155,14 +160,14 @@
             return;
         }
         for finding in &findings.suspected {
-            self.hold(now, finding, QuarantinePhase::Suspected);
+            self.apply_finding(now, finding, QuarantinePhase::Suspected);
         }
         for finding in &findings.quarantined {
-            self.hold(now, finding, QuarantinePhase::Quarantined);
+            self.apply_finding(now, finding, QuarantinePhase::Quarantined);
         }
     }
 
-    fn hold(&self, now: MonoTime, finding: &Finding, phase: QuarantinePhase) {
+    fn apply_finding(&self, now: MonoTime, finding: &Finding, phase: QuarantinePhase) {
         let quarantine = &self.link.state.quarantine;
         let Some(next) = quarantine.list().next_state(now, finding, phase) else {
             return;
@@ -176,9 +181,9 @@
         );
         if phase == QuarantinePhase::Quarantined {
             let list = quarantine.list();
-            let mut held_here = lock(&self.held_here);
-            held_here.retain(|c| list.of(now, *c).is_some());
-            held_here.insert(finding.content);
+            let mut decided_here = lock(&self.decided_here);
+            decided_here.retain(|c| list.of(now, *c).is_some());
+            decided_here.insert(finding.content);
         }
         self.decide(now, finding.content, next, HELD_FOR);
     }
@@ -198,31 +203,31 @@
     }
 
     fn decide(&self, now: MonoTime, content: Content, next: QuarantineState, left: Duration) {
-        let told = QuarantineUpdate {
+        let update = QuarantineUpdate {
             content,
             state: next,
             left,
         };
         let state = &self.link.state;
         state.metrics.quarantine(next.phase.as_str());
-        state.quarantine.apply(now, QuarantineSource::Own, [told]);
+        state.quarantine.apply(now, QuarantineSource::Own, [update]);
     }
 
-    /// Has the store keep what it does not have, for as long as that is held.
+    /// Writes what the store needs_write, for as long as it is in force.
     ///
     /// Guards against the loss of all instances at once, after which the same request
-    /// would end three upstreams more. A suspicion is not worth a call.
+    /// would crash three more upstreams. Suspicions are not worth a call.
     async fn write(&self, now: MonoTime) -> Result<(), StoreError> {
         let list = self.link.state.quarantine.list();
         for (content, held) in list.all(now) {
-            if lacks(&held) && held.lapses.since(now) > LEAST_LEASE {
-                self.write_one(now, content, held).await?;
+            if needs_write(&held) && held.lapses.since(now) > MIN_LEASE {
+                self.write_entry(now, content, held).await?;
             }
         }
         Ok(())
     }
 
-    async fn write_one(
+    async fn write_entry(
         &self,
         now: MonoTime,
         content: Content,
@@ -248,8 +253,8 @@
     }
 }
 
-/// True if the store lacks it.
-fn lacks(held: &QuarantineEntry) -> bool {
+/// True if the store needs_write the current state.
+fn needs_write(held: &QuarantineEntry) -> bool {
     match held.state.phase {
         QuarantinePhase::Suspected => false,
         QuarantinePhase::Quarantined => held.stored != Some(held.state),
--- a/crates/gateway/src/revision_poller.rs
+++ b/crates/gateway/src/revision_poller.rs
@@ -1,4 +1,4 @@
-//! Proof that nothing in force is missing here.
+//! Polls the store's revision, as proof that this instance's state is current.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,44 +11,47 @@
 use crate::store_link::StoreLink;
 use crate::store_link::call_timeout;
 
-/// Pause after a first failed question, and what each further one makes of it. Callers
-/// who show credentials are refused from a few seconds into an absence until this
-/// instance hears of the store again; it is one of a few that ask.
+/// Pause after the first failed poll, and the factor by which each further failure
+/// increases it. From a few seconds into a store outage, callers with credentials are
+/// refused until this instance gets proof again; it is one of only a few instances that
+/// poll.
 const RETRY_PAUSE: Duration = Duration::from_millis(250);
 const RETRY_GROWTH: f64 = 1.4;
-/// The longest such pause.
-const RETRY_PAUSE_MOST: Duration = Duration::from_millis(1_000);
+/// Upper bound of that pause, before jitter.
+const MAX_RETRY_PAUSE: Duration = Duration::from_millis(1_000);
 
-/// Asks for the store's revision: the proof that nothing in force is missing.
+/// Polls the store's revision. An answer proves that all changes up to that revision were
+/// in force when the poll was sent.
 #[derive(Debug)]
 pub(crate) struct RevisionPoller {
     pub(crate) link: Arc<StoreLink>,
 }
 
 impl RevisionPoller {
-    /// Asks again and again while this instance hears the store itself; one that
-    /// follows another has its proof from there. Another's proof does as well.
+    /// Polls forever while this instance reads the store itself; an instance that follows
+    /// another one gets its proof from there. A proof that arrives from another instance
+    /// also delays the next poll.
     pub(crate) async fn run(self: Arc<Self>) {
         let StoreLink { state, store, .. } = &*self.link;
         let mut failures: u32 = 0;
         loop {
             match failures {
-                0 => self.until_old().await,
+                0 => self.until_due().await,
                 _ => {
                     Timer::after(retry_pause(failures)).await;
                 }
             }
             let follows = state.news_source() != NewsSource::Store;
-            // Proof of nothing is worth nothing: of a fleet that starts at once all
-            // would ask several times a second beside reading.
+            // A proof is useless before the first load. All instances of a fleet that
+            // starts at once would poll several times a second while they load.
             if follows || !state.has_read() {
                 failures = 0;
                 continue;
             }
             let asked = state.now();
-            let asking = store.revision();
-            let patience = call_timeout(failures);
-            match self.link.call(StoreCall::Confirm, patience, asking).await {
+            let polling = store.revision();
+            let timeout = call_timeout(failures);
+            match self.link.call(StoreCall::Confirm, timeout, polling).await {
                 Ok(revision) if revision.era < state.knowledge().mirror.revision().era => {
                     failures = failures.saturating_add(1);
                     self.link
@@ -68,10 +71,11 @@
         }
     }
 
-    /// Returns when a new proof is due, or the store was just lost.
-    async fn until_old(&self) {
+    /// Returns when a new proof is due, or when the store was just found unavailable.
+    async fn until_due(&self) {
         let state = &self.link.state;
-        // Not all at the same moment: the first to ask spares the others.
+        // Jitter, so that instances do not poll at the same moment: the proof of the
+        // first to poll spares the others theirs.
         let due = state.settings.confirm_every;
         let due = due.mul_f64(0.85 + 0.3 * fastrand::f64());
         let mut wait = due;
@@ -89,6 +93,6 @@
     let times = failures.saturating_sub(1).min(8);
     let pause = RETRY_PAUSE.mul_f64(RETRY_GROWTH.powi(times as i32));
     pause
-        .min(RETRY_PAUSE_MOST)
+        .min(MAX_RETRY_PAUSE)
         .mul_f64(0.7 + 0.6 * fastrand::f64())
 }
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -1,4 +1,4 @@
-//! The store that holds what must last.
+//! Interface to the key-value store.
 
 use std::fmt::Debug;
 use std::pin::Pin;
@@ -20,47 +20,48 @@
 /// The future of a call to the store.
 pub type StoreFuture<'a, T> = Pin<Box<dyn Future<Output = Result<T, StoreError>> + Send + 'a>>;
 
-/// A lease at the store.
+/// A lease that the store has granted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaseId {
-    /// The store's era in which it was given: a later one does not know it, and may give
-    /// its number to another.
+    /// The store's era in which it was granted. After a restore, the store no longer
+    /// knows the lease and may grant its number to another instance.
     pub era: u64,
     /// Its number in that era.
     pub number: u64,
 }
 
-/// Something that the store holds.
+/// A record of the store.
 #[derive(Debug, Clone)]
 pub enum Record {
     /// The operator's configuration.
     Deployment(Box<Deployment>),
     /// An upstream.
     Upstream(UpstreamEntry),
-    /// An instance of this system.
+    /// A gateway instance.
     Instance(InstanceEntry),
-    /// What is held against a request.
+    /// The quarantine state of a request.
     Quarantine(QuarantineRecord),
-    /// An availability zone whose upstreams are to get nothing new.
+    /// An evacuated availability zone, whose upstreams get no new requests.
     EvacuatedZone(Name),
     /// A record that this version cannot read, and why.
     Unreadable {
-        /// Where it lies.
+        /// Its key.
         key: CompactString,
         /// What is wrong with it.
         reason: CompactString,
     },
 }
 
-/// What is held against a request, as the store keeps it.
+/// The quarantine state of a request, as the store holds it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QuarantineRecord {
     /// The request.
     pub content: Content,
-    /// What is held against it.
+    /// Its quarantine state.
     pub state: QuarantineState,
-    /// Until when, by the time of day. Clocks of instances may differ by seconds, which
-    /// is little of the minutes that it is held for.
+    /// When the quarantine expires, as wall-clock time. The clocks of instances may
+    /// differ by seconds, which is little compared to the minutes that a quarantine
+    /// lasts.
     pub until: SystemTime,
 }
 
@@ -71,82 +72,82 @@
     Put(Record),
     /// An upstream's entry was removed.
     UpstreamRemoved(CompactString),
-    /// An upstream's entry names none: another writer left it, or wrote it over the
-    /// upstream's own.
+    /// An upstream's entry cannot be read as one: another writer left it, or overwrote
+    /// the upstream's own.
     UpstreamUnreadable {
-        /// The identity that it stands under.
+        /// The upstream identity in its key.
         id: CompactString,
         /// What is wrong with it.
         reason: CompactString,
     },
     /// An instance's entry was removed.
     InstanceRemoved(Incarnation),
-    /// The store keeps nothing of what is held against a request any more.
+    /// The quarantine state of a request was removed.
     QuarantineRemoved(Content),
-    /// An availability zone is no longer evacuated.
+    /// The evacuation of an availability zone has ended.
     EvacuationEnded(Name),
 }
 
-/// Items of the store. They are passed on to other instances as they are.
+/// Items of the store, in the form in which they are passed on to other instances.
 #[derive(Debug, Clone)]
 pub struct ItemBatch {
-    /// All of them, or those that changed in the order in which they did.
+    /// All items, or those that changed, in the order of their changes.
     pub items: Vec<StoreItem>,
-    /// Nothing up to this revision is missing.
+    /// The revision up to which the items are complete.
     pub revision: StoreRevision,
 }
 
-/// A part of all that the store holds.
+/// One page of a read of the store.
 #[derive(Debug, Clone)]
 pub struct Page {
     /// In the order of their keys.
     pub items: Vec<StoreItem>,
-    /// The store's revision when it was read.
+    /// The store's revision when the page was read.
     pub revision: StoreRevision,
-    /// True if more lies after the last of them.
+    /// True if there are more records after the last item.
     pub more: bool,
 }
 
-/// Which records are read.
+/// Which records a read returns.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RecordFilter {
     /// All of them.
     All,
-    /// Those of instances of this system.
+    /// Entries of instances.
     Instances,
-    /// Those of instances whose identities begin with these four bits: a sample of one
+    /// Entries of instances whose identities begin with these four bits: a sample of one
     /// in sixteen.
     Sample(u8),
 }
 
-/// Why a call to the store brought nothing.
+/// Why a call to the store failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum StoreError {
     /// The store refused the call: nothing was done.
     #[snafu(display("the store refused the call; it is tried again"))]
     Refused,
-    /// No answer came: a write may have been done, or may be done later.
+    /// No answer arrived: a write may have been done, or may be done later.
     #[snafu(display("the store did not answer; it is asked again on a new connection"))]
     NoAnswer,
     /// The changes asked for are no longer kept.
     #[snafu(display("the store forgot these changes; everything is read again"))]
     HistoryGone,
-    /// The answer is of an earlier era than what is known here, or of two eras.
+    /// The answer is of an earlier era than the known state, or mixes two eras.
     #[snafu(display("the store's answer is of an earlier era; it is asked again"))]
     EraMismatch,
     /// The lease has ended.
     #[snafu(display("the lease has ended; another is taken"))]
     LeaseGone,
-    /// The entry is not the one that was meant any more: nothing was done.
+    /// The entry has been written by another since: nothing was done.
     #[snafu(display("the entry has changed; nothing needs to be done"))]
     Changed,
-    /// The answer is not one that this version understands.
+    /// This version cannot read the answer.
     #[snafu(display("the store's answer cannot be read; check its version"))]
     InvalidAnswer,
 }
 
 impl StoreError {
-    /// Its name in metrics.
+    /// Label of the error in logs and metrics.
     pub(crate) const fn as_str(self) -> &'static str {
         match self {
             StoreError::Refused => "refused",
@@ -160,31 +161,31 @@
     }
 }
 
-/// The store that holds what must last: the operator's configuration and the
-/// entries of upstreams and instances.
+/// The key-value store that holds the operator's configuration and the entries of
+/// upstreams and instances.
 pub trait Store: Debug + Send + Sync {
-    /// Reads records of a kind: what lies after a key, as it is now and as much as fits
-    /// into one answer; everything from the empty key on. Pages are no snapshot: what
-    /// changed since the first one comes with a watch from its revision.
+    /// Reads the page of the filtered records whose keys follow `after`, as large as one
+    /// answer allows; the empty key stands for the beginning. Pages are not a snapshot: a
+    /// watch from the first page's revision returns what has changed since.
     fn page<'a>(&'a self, filter: RecordFilter, after: &'a str) -> StoreFuture<'a, Page>;
 
     /// Waits for changes after a revision, at most `wait`.
     fn watch(&self, after: StoreRevision, wait: Duration) -> StoreFuture<'_, ItemBatch>;
 
-    /// What an item says; none if it does not concern the product.
+    /// Decodes an item; none if it does not concern this system.
     fn decode(&self, item: &StoreItem) -> Option<Change>;
 
-    /// The store's revision, as it is now.
+    /// The store's current revision.
     fn revision(&self) -> StoreFuture<'_, StoreRevision>;
 
-    /// Takes a lease.
+    /// Requests a lease.
     fn lease(&self, lifetime: Duration) -> StoreFuture<'_, LeaseId>;
 
     /// Renews a lease.
     fn renew(&self, lease: LeaseId) -> StoreFuture<'_, ()>;
 
-    /// Writes this instance's entry, for as long as the lease lasts, and removes those
-    /// of its earlier starts.
+    /// Writes this instance's entry under the lease, and removes the entries of its
+    /// earlier starts.
     fn announce<'a>(
         &'a self,
         entry: &'a InstanceEntry,
@@ -192,14 +193,14 @@
         earlier: &'a [Incarnation],
     ) -> StoreFuture<'a, ()>;
 
-    /// Writes what is held against a request, for as long as the lease lasts.
+    /// Writes the quarantine state of a request under the lease.
     fn write_quarantine<'a>(
         &'a self,
         record: &'a QuarantineRecord,
         lease: LeaseId,
     ) -> StoreFuture<'a, ()>;
 
-    /// Removes another instance's entry if it is still the one written at this revision.
+    /// Removes another instance's entry, unless it was written again after this revision.
     fn remove_instance(&self, id: Incarnation, written: StoreRevision) -> StoreFuture<'_, ()>;
 
     /// Removes this instance's entry.
--- a/crates/gateway/src/store_applier.rs
+++ b/crates/gateway/src/store_applier.rs
@@ -1,4 +1,4 @@
-//! Taking in what the store holds.
+//! Applies records and changes of the store to the state of this instance.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -26,22 +26,23 @@
 use crate::quarantine::QuarantineUpdate;
 use crate::state::State;
 
-/// Changes of upstreams in one batch that an instance logs one by one though it hears of
-/// them from another, which logs them as well.
-const LINES_A_BATCH: usize = 8;
+/// Number of changes in one batch up to which an instance logs each upstream although it
+/// got the batch from another instance, which logs them as well.
+const MAX_LINES_PER_BATCH: usize = 8;
 
-/// The lines on upstreams of one batch of changes.
+/// Logs the upstreams of one batch of changes.
 ///
-/// Guards against a line for each upstream on each instance of a fleet: when 10,000 start
-/// before 1,000 instances they are ten million, and cost more than the changes.
+/// Guards against one line for each upstream on each instance of a fleet: when 10,000
+/// upstreams start before 1,000 instances, that is ten million lines, which cost more
+/// than the changes themselves.
 #[derive(Debug)]
-struct UpstreamLines {
+struct UpstreamLog {
     each: bool,
     written: usize,
     removed: usize,
 }
 
-impl UpstreamLines {
+impl UpstreamLog {
     fn written(&mut self, entry: &UpstreamEntry, revision: StoreRevision) {
         self.written += 1;
         if self.each {
@@ -67,7 +68,7 @@
     }
 }
 
-/// Takes in what the store holds, whoever brings the news.
+/// Applies records and changes of the store, whichever source they come from.
 #[derive(Debug)]
 pub(crate) struct StoreApplier {
     pub(crate) state: Arc<State>,
@@ -75,8 +76,8 @@
 }
 
 impl StoreApplier {
-    /// Takes news in; false if they are older than what is known, or of an era whose
-    /// beginning is not known here.
+    /// Applies an update; false if it is older than the current state, or if it holds
+    /// changes of an era whose records have not been read here.
     pub(crate) fn apply(&self, news: News) -> bool {
         let News {
             whole,
@@ -86,7 +87,7 @@
         let known = self.state.knowledge().mirror.revision();
         match whole {
             true if revision < known => {
-                log::warn!(revision:%, known:%; "reading of the store is older than what is known, and passed over");
+                log::warn!(revision:%, known:%; "snapshot of the store is older than the current state; ignored");
                 return false;
             }
             false if !revision.is_same_era(known) => return false,
@@ -104,11 +105,11 @@
         true
     }
 
-    /// Takes in which instances the store lists, before anything else is known.
+    /// Applies the list of instances alone, before everything else is loaded.
     pub(crate) fn apply_instances(&self, items: &[StoreItem]) {
         for (change, item) in self.decode(items) {
             if let Change::Put(record) = change {
-                self.take_record(record, &item);
+                self.apply_record(record, &item);
             }
         }
         let now = self.state.now();
@@ -116,7 +117,7 @@
         self.state.listed.set();
     }
 
-    /// The other instances that items name.
+    /// The other instances among the items.
     pub(crate) fn decode_sample(&self, items: &[StoreItem]) -> Vec<InstanceEntry> {
         let me = &self.state.me;
         let entries = self.decode(items).into_iter();
@@ -127,11 +128,11 @@
         entries.collect()
     }
 
-    /// Takes the configuration alone out of another instance's records.
+    /// Applies only the configuration among another instance's records.
     pub(crate) fn apply_deployment(&self, items: &[StoreItem]) {
         for (change, item) in self.decode(items) {
             if let Change::Put(record @ Record::Deployment(_)) = change {
-                self.take_record(record, &item);
+                self.apply_record(record, &item);
             }
         }
     }
@@ -142,7 +143,7 @@
             true => Reading::Complete,
             false => Reading::Restored,
         };
-        let items = self.keep_deployment(items, revision, true);
+        let items = self.retain_newer_deployment(items, revision, true);
         let changes: Vec<(Change, StoreItem)> = self.decode(&items);
         self.state.knowledge().mirror.replace(items, revision);
         let mut upstreams: Vec<UpstreamEntry> = Vec::new();
@@ -154,7 +155,7 @@
             match change {
                 Change::Put(Record::Upstream(entry)) => upstreams.push(entry),
                 Change::UpstreamUnreadable { id, reason } => {
-                    changed |= self.leave_out(&id, &reason, item.revision);
+                    changed |= self.exclude_upstream(&id, &reason, item.revision);
                 }
                 Change::Put(Record::EvacuatedZone(zone)) => {
                     evacuated.insert(zone);
@@ -165,7 +166,7 @@
                         Record::Quarantine(q) => quarantined.push(q.content),
                         _ => {}
                     }
-                    self.take_record(record, &item);
+                    self.apply_record(record, &item);
                 }
                 Change::UpstreamRemoved(_)
                 | Change::InstanceRemoved(_)
@@ -176,7 +177,7 @@
         self.state.quarantine.retain_stored(&quarantined);
         let now = self.state.now();
         if reading == Reading::Restored {
-            log::warn!(revision:%, known:%; "store was restored from a copy; what it lost is written again");
+            log::warn!(revision:%, known:%; "store was restored from a copy; records that it lost are written again");
         }
         {
             let mut knowledge = self.state.knowledge();
@@ -191,36 +192,36 @@
         if !is_first && (reading == Reading::Restored || !is_listed()) {
             self.state.entry_gone.give();
         }
-        log::info!(revision:%; "store read whole");
+        log::info!(revision:%; "full snapshot of the store applied");
     }
 
     fn apply_changes(&self, items: Vec<StoreItem>, revision: StoreRevision) {
-        let items = self.keep_deployment(items, revision, false);
+        let items = self.retain_newer_deployment(items, revision, false);
         let items = self.state.knowledge().mirror.apply(items, revision);
         let now = self.state.now();
         let mut changed = false;
-        let mut lines = self.upstream_lines(items.len());
+        let mut upstream_log = self.upstream_log(items.len());
         for (change, item) in self.decode(&items) {
             match change {
                 Change::Put(Record::Upstream(entry)) => {
-                    lines.written(&entry, revision);
+                    upstream_log.written(&entry, revision);
                     changed |= self.state.knowledge().upstreams.put(now, entry);
                 }
                 Change::Put(Record::EvacuatedZone(zone)) => {
-                    log::info!(zone:% = zone, revision:%; "zone evacuated: nothing new goes to its upstreams");
+                    log::info!(zone:% = zone, revision:%; "zone evacuated; its upstreams get no new requests");
                     changed |= self.state.knowledge().evacuated.evacuate(zone);
                 }
                 Change::EvacuationEnded(zone) => {
-                    log::info!(zone:% = zone, revision:%; "zone taken back");
+                    log::info!(zone:% = zone, revision:%; "zone no longer evacuated");
                     changed |= self.state.knowledge().evacuated.take_back(now, &zone);
                 }
-                Change::Put(record) => self.take_record(record, &item),
+                Change::Put(record) => self.apply_record(record, &item),
                 Change::UpstreamRemoved(id) => {
-                    lines.removed(&id, revision);
+                    upstream_log.removed(&id, revision);
                     changed |= self.state.knowledge().upstreams.remove(now, &id);
                 }
                 Change::UpstreamUnreadable { id, reason } => {
-                    changed |= self.leave_out(&id, &reason, item.revision);
+                    changed |= self.exclude_upstream(&id, &reason, item.revision);
                 }
                 Change::InstanceRemoved(id) if id == self.state.me.incarnation => {
                     self.state.entry_gone.give();
@@ -231,41 +232,42 @@
                 }
             }
         }
-        lines.end(revision);
+        upstream_log.end(revision);
         if changed {
             self.state.rebuild_upstreams();
         }
     }
 
-    /// What is logged of a batch of changes: each upstream where this instance reads the
-    /// store, or where they are few.
-    fn upstream_lines(&self, changes: usize) -> UpstreamLines {
-        let each = changes <= LINES_A_BATCH || self.state.news_source() == NewsSource::Store;
-        UpstreamLines {
+    /// Decides how a batch of changes is logged: line by line if this instance reads the
+    /// store itself or the changes are few, else as a summary.
+    fn upstream_log(&self, changes: usize) -> UpstreamLog {
+        let each = changes <= MAX_LINES_PER_BATCH || self.state.news_source() == NewsSource::Store;
+        UpstreamLog {
             each,
             written: 0,
             removed: 0,
         }
     }
 
-    /// Leaves an upstream out whose entry another writer left or wrote over; true if
-    /// that changes anything. A line for each writing and not for each reading.
-    fn leave_out(&self, id: &str, reason: &str, written: StoreRevision) -> bool {
+    /// Excludes an upstream whose entry another writer has left or overwritten; true if
+    /// that changes anything. Logs one line for each write of the entry, not for each
+    /// read.
+    fn exclude_upstream(&self, id: &str, reason: &str, written: StoreRevision) -> bool {
         log::warn!(
             upstream = id,
             reason = reason,
             written:%;
-            "entry names no upstream; its own writer has to write it again"
+            "entry does not describe an upstream; its owner has to write it again"
         );
         self.state.knowledge().upstreams.leave_out(id)
     }
 
-    /// The items with the configuration in force here in the place of an older one, and of
-    /// a missing one if they are `whole`.
+    /// Replaces an older configuration among the items by the one in force here; adds it
+    /// if it is missing and the items are `whole`.
     ///
-    /// Guards against instances that are told an older version by this one, which it
-    /// read from a copy of the store.
-    fn keep_deployment(
+    /// Keeps this instance from passing on an older version, which it read from a store
+    /// that was restored from a copy.
+    fn retain_newer_deployment(
         &self,
         mut items: Vec<StoreItem>,
         revision: StoreRevision,
@@ -295,33 +297,33 @@
         items
     }
 
-    /// What items say.
+    /// Decodes items; those that do not concern this system are left out.
     fn decode(&self, items: &[StoreItem]) -> Vec<(Change, StoreItem)> {
-        let said = |i: &StoreItem| Some((self.store.decode(i)?, i.clone()));
-        items.iter().filter_map(said).collect()
+        let decode = |i: &StoreItem| Some((self.store.decode(i)?, i.clone()));
+        items.iter().filter_map(decode).collect()
     }
 
-    fn take_quarantine(&self, record: QuarantineRecord) {
+    fn apply_quarantine(&self, record: QuarantineRecord) {
         let QuarantineRecord {
             content,
             state,
             until,
         } = record;
-        // One whose time is over has none left.
+        // A record that has already expired has no time left.
         let left = until.duration_since(SystemTime::now()).unwrap_or_default();
-        let told = QuarantineUpdate {
+        let update = QuarantineUpdate {
             content,
             state,
             left,
         };
         let quarantine = &self.state.quarantine;
-        quarantine.apply(self.state.now(), QuarantineSource::Store, [told]);
+        quarantine.apply(self.state.now(), QuarantineSource::Store, [update]);
         quarantine.set_stored(content, Some(state));
     }
 
-    fn take_record(&self, record: Record, item: &StoreItem) {
+    fn apply_record(&self, record: Record, item: &StoreItem) {
         match record {
-            Record::Deployment(deployment) => self.take_newer_deployment(*deployment, item),
+            Record::Deployment(deployment) => self.apply_newer_deployment(*deployment, item),
             Record::Instance(entry) if entry.incarnation == self.state.me.incarnation => {}
             Record::Instance(entry) if entry.peers == self.state.me.peers => {
                 let mut knowledge = self.state.knowledge();
@@ -339,17 +341,17 @@
             Record::EvacuatedZone(zone) => {
                 self.state.knowledge().evacuated.evacuate(zone);
             }
-            Record::Quarantine(record) => self.take_quarantine(record),
+            Record::Quarantine(record) => self.apply_quarantine(record),
             Record::Unreadable { key, reason } => {
-                log::error!(key:% = key, reason:% = reason; "record not understood, left out");
+                log::error!(key:% = key, reason:% = reason; "record cannot be decoded; ignored");
             }
         }
     }
 
-    /// Puts a configuration in force if it is newer than the one that is. Of two with one
-    /// version, which a store that came back from a copy may hold one after the other, the
-    /// one that was written later is.
-    fn take_newer_deployment(&self, deployment: Deployment, item: &StoreItem) {
+    /// Puts a configuration in force if it is newer than the current one. A store that
+    /// was restored from a copy may hold two different configurations with the same
+    /// version one after the other; of these the one that was written later wins.
+    fn apply_newer_deployment(&self, deployment: Deployment, item: &StoreItem) {
         let version = deployment.version;
         let mut knowledge = self.state.knowledge();
         let is_newer = match &knowledge.deployment {
--- a/crates/gateway/src/store_call.rs
+++ b/crates/gateway/src/store_call.rs
@@ -6,23 +6,23 @@
 /// A kind of call to the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum StoreCall {
-    /// Reading a page of all that it holds.
+    /// Reading a page of records.
     Page,
     /// Waiting for changes.
     Watch,
-    /// Asking for its revision, the proof of what is in force.
+    /// Reading the store's revision, as proof that this instance's state is current.
     Confirm,
-    /// Taking a lease.
+    /// Requesting a lease.
     Lease,
-    /// Renewing one.
+    /// Renewing a lease.
     Renew,
     /// Writing this instance's entry.
     Announce,
-    /// Removing it.
+    /// Removing this instance's entry.
     Withdraw,
-    /// Removing the entry of an instance that is silent.
+    /// Removing the entry of an instance that does not answer.
     Remove,
-    /// Writing what is held against a request.
+    /// Writing the quarantine state of a request.
     WriteQuarantine,
 }
 
@@ -39,7 +39,7 @@
         StoreCall::WriteQuarantine,
     ];
 
-    /// Its name in logs and metrics.
+    /// Label of the kind in logs and metrics.
     pub(crate) const fn as_str(self) -> &'static str {
         match self {
             StoreCall::Page => "page",
@@ -55,7 +55,7 @@
     }
 }
 
-/// Calls to the store since they were last told, by kind.
+/// Number of calls to the store since the last report, by kind.
 #[derive(Debug, Default)]
 pub(crate) struct StoreCallCounts([AtomicU64; StoreCall::ALL.len()]);
 
@@ -64,7 +64,8 @@
         self.0[call as usize].fetch_add(1, Ordering::Relaxed);
     }
 
-    /// The counts since the last question, as text; none if there were no calls.
+    /// Returns the counts since the last report as text and resets them; none if there
+    /// were no calls.
     pub(crate) fn take(&self) -> Option<String> {
         let taken = StoreCall::ALL.map(|c| (c, self.0[c as usize].swap(0, Ordering::Relaxed)));
         let called = taken.iter().filter(|(_, count)| *count > 0);
--- a/crates/gateway/src/store_follower.rs
+++ b/crates/gateway/src/store_follower.rs
@@ -1,4 +1,4 @@
-//! Keeping up with the store.
+//! Keeps this instance's copy of the store up to date.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,47 +21,51 @@
 use crate::store_link::call_timeout;
 use crate::store_reader::StoreReader;
 
-/// How long one watch waits for changes: the longest that the store allows.
-const WATCH_WAIT: Duration = Duration::from_secs(30);
-/// How long one question for another's news waits when there is none: a little
-/// more than the time in which the other renews its proof, which is news as well.
-const FOLLOW_WAIT: Duration = Duration::from_millis(1_500);
-/// How old proof may get at an instance that follows another before that one is
-/// passed over: two questions for proof, and two steps to this instance.
-const FOLLOWED_PROOF_MOST: Duration = Duration::from_millis(2_600);
-/// Pause between two watches, in which changes gather: each watch is a call, and
-/// when a fleet starts every instance's entry is a change for all others.
-const GATHER: Duration = Duration::from_millis(100);
-/// How long nothing may come of what the store is known to have before
-/// everything is read again.
-const NEWS_BEHIND: Duration = Duration::from_millis(250);
-/// How long an instance waits for the store's return to be noticed.
-const AWAY_PAUSE: Duration = Duration::from_secs(2);
-/// How long the first start of a whole system waits for the others: the users start
-/// all instances within 300 ms, and each then writes its entry.
-const START_SPREAD: Duration = Duration::from_millis(600);
-/// How long a process that has read nothing waits for an answer of one that relays and
-/// may have started in the same moment.
-const FIRST_FOLLOW_WAIT: Duration = Duration::from_millis(250);
-/// How long it asks those that relay before it reads everything from the store. They
-/// need about 300 ms from their start until they can tell.
-const RELAYS_WITHIN: Duration = Duration::from_millis(900);
-/// How long an instance of a large fleet asks others before it reads everything from the
-/// store.
-const SOURCES_WITHIN: Duration = Duration::from_secs(8);
-/// The mean pause before a process that has read nothing yet asks again. Until
-/// then it serves nobody, and it asks the store nothing else.
+/// Longest time that one watch waits for changes: the maximum that the store allows.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(30);
+/// How long a follow request to another instance waits when there are no changes. Slightly longer
+/// than the interval at which that instance renews its proof, because a new proof also ends the
+/// wait.
+const FOLLOW_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Age of the proof at which an instance that follows another one passes that source over: two
+/// revision polls of the source, and two hops to this instance.
+const MAX_FOLLOWED_PROOF_AGE: Duration = Duration::from_millis(2_600);
+/// Pause after a watch or an answer with changes, so that several changes arrive in the next one.
+/// Each watch is a call, and while a fleet starts, every instance's entry is a change for all
+/// others.
+const BATCHING_PAUSE: Duration = Duration::from_millis(100);
+/// How long this instance may lack changes that the store is known to have before it reads
+/// everything again. Also the interval between the checks of this module's wait loops.
+const BEHIND_CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// How long an instance waits for a signal that the store is available again before it retries.
+const UNAVAILABLE_PAUSE: Duration = Duration::from_secs(2);
+/// How long an instance waits for the others at the first start of a whole system: all instances
+/// are started within 300 ms, and each then writes its entry.
+const FIRST_START_DELAY: Duration = Duration::from_millis(600);
+/// How long a process that has loaded nothing waits for the answer of a relay, which may have
+/// started at the same moment.
+const FIRST_FETCH_TIMEOUT: Duration = Duration::from_millis(250);
+/// How long a starting instance asks relays before it reads everything from the store. Relays need
+/// about 300 ms from their own start until they can answer.
+const RELAY_FETCH_TIMEOUT: Duration = Duration::from_millis(900);
+/// How long a starting instance of a large fleet asks other instances before it reads everything
+/// from the store.
+const SOURCE_FETCH_TIMEOUT: Duration = Duration::from_secs(8);
+/// Base of the mean pause before a process that has loaded nothing retries; it grows with the
+/// number of failures. Until the first load succeeds, the process serves no callers and makes no
+/// other calls to the store.
 const FIRST_READ_PAUSE: Duration = Duration::from_millis(350);
-/// The longest such pause. With 900 ms 295 instances that waited for the store served
-/// 1.2 s later than with 350 ms: the pause, and what hangs when it is back, add up.
-const FIRST_READ_PAUSE_MOST: Duration = Duration::from_millis(450);
-/// How long another instance has a later configuration in force before it is asked for it:
-/// longer than one takes from the store to all instances.
-const AHEAD_FOR: Duration = Duration::from_millis(1_000);
-/// How often entries are looked through for those that are over.
-const EXPIRE_EVERY: Duration = Duration::from_millis(250);
+/// Upper bound of the mean pause before such a retry. With 900 ms, 295 instances that waited for
+/// the store served 1.2 s later than with 350 ms, because the pause adds to the time of calls that
+/// hang when the store returns.
+const MAX_FIRST_READ_PAUSE: Duration = Duration::from_millis(450);
+/// How long another instance must have had a later configuration in force before this one fetches
+/// it: longer than a configuration takes from the store to all instances.
+const MIN_AHEAD_TIME: Duration = Duration::from_millis(1_000);
+/// Interval between checks for expired entries, and for a later configuration at another instance.
+const EXPIRE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Keeps the gateway's knowledge up with the store.
+/// Keeps the gateway's state up to date with the store.
 #[derive(Debug)]
 pub(crate) struct StoreFollower {
     pub(crate) link: Arc<StoreLink>,
@@ -70,90 +74,91 @@
     pub(crate) peers: Arc<PeerClient>,
 }
 
-/// What a round of following came to.
+/// Whether the next round can go on from the state that this instance has.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Round {
-    /// Nothing is missing as far as can be told.
-    Kept,
-    /// Everything has to be read again.
-    Lost,
+enum SyncState {
+    /// No changes are known to be missing.
+    UpToDate,
+    /// Changes are missing, and everything has to be read again.
+    MustReload,
 }
 
 impl StoreFollower {
-    /// Follows the store's changes for good: reads everything, then watches, or
-    /// follows an instance that does; reads everything again where the news can
-    /// no longer be trusted.
+    /// Runs forever: reads everything, then follows the changes through a watch of the store or
+    /// through another instance, and reads everything again when changes may be missing.
     pub(crate) async fn follow(self: Arc<Self>) {
         self.start().await;
-        let mut round = Round::Kept;
+        let mut sync_state = SyncState::UpToDate;
         let mut failures: u32 = 0;
         loop {
-            if round == Round::Lost {
+            if sync_state == SyncState::MustReload {
                 match self.reader.read_all(call_timeout(failures)).await {
                     Ok(()) => {
-                        round = Round::Kept;
+                        sync_state = SyncState::UpToDate;
                         failures = 0;
                     }
                     Err(e) => {
                         failures = failures.saturating_add(1);
                         self.link.call_failed(StoreCall::Page, e);
                         if e == StoreError::EraMismatch {
-                            // The store answers, so that nothing else waits.
-                            Timer::after(NEWS_BEHIND).await;
+                            // The store does answer, so this path has no other wait.
+                            Timer::after(BEHIND_CHECK_INTERVAL).await;
                         }
                     }
                 }
             }
-            let asking = self.round(round);
+            let syncing = self.sync_round(sync_state);
             let behind = async {
                 self.until_behind().await;
-                log::warn!("news is behind the store; reading everything again");
-                Round::Lost
+                log::warn!("changes of the store did not arrive; reading everything again");
+                SyncState::MustReload
             };
-            round = asking.or(behind).await;
+            sync_state = syncing.or(behind).await;
         }
     }
 
-    /// Reads for the first time, however long it takes.
+    /// Retries the first load until it succeeds.
     async fn start(&self) {
         let mut failures: u32 = 0;
-        // A call that hangs since the store was away is given up soon: what is read
-        // first is little. Each third may take as long as one of a slow store does.
-        while let Err(e) = self.read_first(call_timeout(failures + 1)).await {
+        // Short timeouts for two attempts of three: a call that hangs since an outage is given up
+        // soon, and the first read is small. Every third attempt gets the full timeout, for a
+        // store that is slow.
+        while let Err(e) = self.first_load(call_timeout(failures + 1)).await {
             failures = failures.saturating_add(1);
             self.link.call_failed(StoreCall::Page, e);
             Timer::after(first_read_pause(failures)).await;
         }
     }
 
-    /// Reads which instances there are, and all else from one that has it.
+    /// Reads a sample of the instances from the store, and everything else from an instance that
+    /// has it.
     ///
-    /// The load that it answers: all instances of a fleet start at once. What each reads of
-    /// the store has to stay small: of 300 each read a megabyte, 2.7 s of its link, and
-    /// 985 that read only the list of each other kept it busy for ten.
-    async fn read_first(&self, patience: Duration) -> Result<(), StoreError> {
+    /// Keeps the load small when all instances of a fleet start at once. When each of 300
+    /// instances read everything, a megabyte, that took 2.7 s of the store's link; when 985
+    /// instances read only the list of all instances, that kept the store busy for ten seconds.
+    async fn first_load(&self, timeout: Duration) -> Result<(), StoreError> {
         let state = &self.link.state;
         if state.settings.first_start && state.listed.set() {
-            // There are no entries of earlier starts. Its own is written meanwhile.
-            Timer::after(START_SPREAD).await;
+            // No entries of earlier starts exist. This instance writes its own entry meanwhile.
+            Timer::after(FIRST_START_DELAY).await;
         }
-        let sample = self.reader.read_sample(patience).await?;
+        let sample = self.reader.read_sample(timeout).await?;
         match FirstSources::of_sample(state.me.incarnation, &sample) {
-            Some(sources) => self.hear_first(sources).await,
-            None => self.read_small_fleet(patience).await,
+            Some(sources) => self.load_from_sources(sources).await,
+            None => self.load_small_fleet(timeout).await,
         }
     }
 
-    /// Reads which instances there are, and all else from one that relays in this zone;
-    /// from the store if this one relays itself, or if none of them has it.
-    async fn read_small_fleet(&self, patience: Duration) -> Result<(), StoreError> {
+    /// Reads the list of instances, and everything else from a relay of this zone; from the store
+    /// if this instance is a relay itself, or if no relay has it.
+    async fn load_small_fleet(&self, timeout: Duration) -> Result<(), StoreError> {
         let state = &self.link.state;
-        self.reader.read_instances(patience).await?;
+        self.reader.read_instances(timeout).await?;
         let asked = state.now();
         while let NewsSource::Relay(id) = state.news_source()
-            && state.now().since(asked) < RELAYS_WITHIN
+            && state.now().since(asked) < RELAY_FETCH_TIMEOUT
         {
-            self.follow_instance(id, FIRST_FOLLOW_WAIT).await;
+            self.follow_instance(id, FIRST_FETCH_TIMEOUT).await;
             if state.has_read() {
                 return Ok(());
             }
@@ -161,24 +166,25 @@
         self.reader.read_all(CALL_TIMEOUT).await
     }
 
-    /// Hears everything from one of a large fleet; from the store if others ask this one
-    /// for it, or if none of those that are asked has it.
-    async fn hear_first(&self, mut sources: FirstSources) -> Result<(), StoreError> {
+    /// Fetches everything from another instance of a large fleet; from the store if other
+    /// instances request it from this one, or if none of the sources has it.
+    async fn load_from_sources(&self, mut sources: FirstSources) -> Result<(), StoreError> {
         let state = &self.link.state;
         let asked = state.now();
         let yields = sources.yields_for(state.me.strength);
-        let wanted = async {
+        let requested = async {
             state.all_wanted.given().await;
             Timer::after(yields).await;
             true
         };
-        let heard = async {
+        let fetched = async {
             while let Some(source) = sources.ask_next()
-                && state.now().since(asked) < SOURCES_WITHIN
+                && state.now().since(asked) < SOURCE_FETCH_TIMEOUT
             {
-                match self.peers.fetch_all_at(source, FIRST_FOLLOW_WAIT).await {
-                    Some(heard) if !heard.store_away => self.take_heard(heard),
-                    // What it knows may be old, while the store answered here just now.
+                match self.peers.fetch_all_at(source, FIRST_FETCH_TIMEOUT).await {
+                    Some(reply) if !reply.store_unavailable => self.apply_reply(reply),
+                    // The state of a source that has lost the store may be stale, while the store
+                    // has just answered this instance.
                     Some(_) | None => sources.is_silent(source),
                 }
                 if state.has_read() {
@@ -187,115 +193,115 @@
             }
             true
         };
-        match wanted.or(heard).await {
+        match requested.or(fetched).await {
             true => self.reader.read_all(CALL_TIMEOUT).await,
             false => Ok(()),
         }
     }
 
-    fn take_heard(&self, heard: SourceReply) {
-        for news in heard.news {
-            self.applier.apply(news);
+    fn apply_reply(&self, reply: SourceReply) {
+        for update in reply.updates {
+            self.applier.apply(update);
         }
-        if let Some(proof) = heard.proof {
+        if let Some(proof) = reply.proof {
             self.link.state.knowledge().freshness.adopt(proof);
         }
     }
 
-    /// Gives up entries whose time is over.
+    /// Removes expired entries, forever.
     pub(crate) async fn expire_entries(self: Arc<Self>) {
         let state = &self.link.state;
         loop {
-            Timer::after(EXPIRE_EVERY).await;
+            Timer::after(EXPIRE_INTERVAL).await;
             let now = state.now();
             state.notices.expire(now);
-            let (gone, taken_back) = {
+            let (upstreams_gone, zones_restored) = {
                 let mut knowledge = state.knowledge();
                 knowledge.forget_sources(now);
                 knowledge.instances.expire(now);
-                let gone = knowledge.upstreams.expire(now);
-                (gone, knowledge.evacuated.expire(now))
+                let upstreams_gone = knowledge.upstreams.expire(now);
+                (upstreams_gone, knowledge.evacuated.expire(now))
             };
-            if gone {
-                log::info!("upstreams that lapsed with the store did not come back");
+            if upstreams_gone {
+                log::info!("upstreams whose entries lapsed with the store were not written again");
             }
-            if taken_back {
-                log::info!("zones that the store lost are no longer evacuated");
+            if zones_restored {
+                log::info!("zones whose evacuation the store lost are no longer evacuated");
             }
-            if gone || taken_back {
+            if upstreams_gone || zones_restored {
                 state.rebuild_upstreams();
             }
         }
     }
 
-    /// Takes the configuration of an instance that has had a later version in force for a
-    /// while.
+    /// Fetches the configuration of an instance that has had a later version in force for a while.
     ///
-    /// Guards against an instance that starts after the store came back from a copy: it
-    /// reads an older version there, by which a credential that was taken away works,
-    /// until the operator has written the newest one again.
+    /// Guards against an instance that starts after the store was restored from a copy: it reads
+    /// an older version there, under which a revoked credential is still valid, until the operator
+    /// has written the newest version again.
     pub(crate) async fn fetch_newer_deployment(self: Arc<Self>) {
         let state = &self.link.state;
         loop {
-            Timer::after(EXPIRE_EVERY).await;
+            Timer::after(EXPIRE_INTERVAL).await;
             let ahead = state.knowledge().ahead;
             let now = state.now();
-            let Some((id, _)) = ahead.filter(|(_, since)| now.since(*since) >= AHEAD_FOR) else {
+            let Some((id, _)) = ahead.filter(|(_, since)| now.since(*since) >= MIN_AHEAD_TIME)
+            else {
                 continue;
             };
             log::info!(source:% = id; "another instance has a later configuration in force");
             match self.peers.fetch_all(id).await {
-                Some(heard) => {
-                    for news in heard.news {
-                        self.applier.apply_deployment(&news.items);
+                Some(reply) => {
+                    for update in reply.updates {
+                        self.applier.apply_deployment(&update.items);
                     }
                 }
                 None => {
-                    log::info!(source:% = id; "it does not answer; the next one that tells is asked")
+                    log::info!(source:% = id; "instance with a later configuration does not answer; trying the next one that reports it")
                 }
             }
             state.knowledge().ahead = None;
         }
     }
 
-    /// Hears of what changed since the last round.
-    async fn round(&self, last: Round) -> Round {
+    /// Gets the changes since the last round, from the current update source.
+    async fn sync_round(&self, last: SyncState) -> SyncState {
         let state = &self.link.state;
         match state.news_source() {
             NewsSource::Reader(id) | NewsSource::Relay(id)
-                if self.follow_instance(id, FOLLOW_WAIT).await =>
+                if self.follow_instance(id, FOLLOW_TIMEOUT).await =>
             {
-                Round::Kept
+                SyncState::UpToDate
             }
-            _ if last == Round::Lost => {
-                state.store_back.wait(AWAY_PAUSE).await;
-                Round::Lost
+            _ if last == SyncState::MustReload => {
+                state.store_back.wait(UNAVAILABLE_PAUSE).await;
+                SyncState::MustReload
             }
             NewsSource::Store => {
                 let others = async {
-                    self.until_others_tell().await;
-                    Round::Kept
+                    self.until_following_others().await;
+                    SyncState::UpToDate
                 };
-                self.watch(WATCH_WAIT).or(others).await
+                self.watch(WATCH_TIMEOUT).or(others).await
             }
-            // It is passed over from now on, and the next one is asked.
+            // The source is now marked as silent, so the next round uses another one.
             NewsSource::Reader(id) | NewsSource::Relay(id) => {
-                log::info!(source:% = id; "no news from the instance followed");
-                Round::Kept
+                log::info!(source:% = id; "no answer from the instance that this one follows");
+                SyncState::UpToDate
             }
         }
     }
 
-    async fn watch(&self, wait: Duration) -> Round {
+    async fn watch(&self, wait: Duration) -> SyncState {
         let state = &self.link.state;
         let revision = state.knowledge().mirror.revision();
         let watching = self.link.store.watch(revision, wait);
-        let patience = wait + CALL_TIMEOUT;
-        match self.link.call(StoreCall::Watch, patience, watching).await {
+        let timeout = wait + CALL_TIMEOUT;
+        match self.link.call(StoreCall::Watch, timeout, watching).await {
             Ok(changes) if changes.revision.era > revision.era => {
                 self.link.call_succeeded();
-                log::info!(revision:%, now:% = changes.revision; "watch ended in another era; reading everything again");
-                Round::Lost
+                log::info!(revision:%, now:% = changes.revision; "store was restored during the watch; reading everything again");
+                SyncState::MustReload
             }
             Ok(changes) => {
                 self.link.call_succeeded();
@@ -304,24 +310,24 @@
                     items: changes.items,
                     revision: changes.revision,
                 });
-                Timer::after(GATHER).await;
-                Round::Kept
+                Timer::after(BATCHING_PAUSE).await;
+                SyncState::UpToDate
             }
             Err(StoreError::HistoryGone) => {
-                log::info!(revision:%; "history gone; reading everything again");
-                Round::Lost
+                log::info!(revision:%; "store no longer has the changes since this revision; reading everything again");
+                SyncState::MustReload
             }
             Err(e) => {
                 self.link.call_failed(StoreCall::Watch, e);
                 if state.news_source() == NewsSource::Store {
-                    state.store_back.wait(AWAY_PAUSE).await;
+                    state.store_back.wait(UNAVAILABLE_PAUSE).await;
                 }
-                Round::Kept
+                SyncState::UpToDate
             }
         }
     }
 
-    /// Hears another instance's news; false if it does not answer.
+    /// Gets another instance's changes; false if it does not answer.
     async fn follow_instance(&self, id: Incarnation, wait: Duration) -> bool {
         let state = &self.link.state;
         let asking = self.peers.follow(id, wait);
@@ -329,37 +335,39 @@
             self.until_silent(id).await;
             None
         };
-        let Some(heard) = asking.or(gone).await else {
+        let Some(reply) = asking.or(gone).await else {
             let now = state.now();
             let mut knowledge = state.knowledge();
             knowledge.note_source(now, id, SourceState::Silent);
             return false;
         };
-        let silent = heard.news.iter().all(|n| n.items.is_empty());
-        let store_away = heard.store_away;
-        self.take_heard(heard);
-        match store_away {
-            true => self.source_lost_store(id),
+        let no_changes = reply.updates.iter().all(|u| u.items.is_empty());
+        let store_unavailable = reply.store_unavailable;
+        self.apply_reply(reply);
+        match store_unavailable {
+            true => self.handle_source_without_store(id),
             false => self.link.mark_available(),
         }
-        if !store_away && state.without_proof() > FOLLOWED_PROOF_MOST {
-            log::info!(source:% = id; "the instance followed brings no proof");
+        if !store_unavailable && state.without_proof() > MAX_FOLLOWED_PROOF_AGE {
+            log::info!(source:% = id; "the instance that this one follows sends no recent proof");
             let now = state.now();
             let mut knowledge = state.knowledge();
             knowledge.note_source(now, id, SourceState::Silent);
         }
-        if !silent {
-            Timer::after(GATHER).await;
+        if !no_changes {
+            Timer::after(BATCHING_PAUSE).await;
         }
         true
     }
 
-    /// The instance followed says that the store is away. Another may still hear it;
-    /// only if none of those that may read or relay does, their word is taken.
+    /// The instance that this one follows reports the store as unavailable. Another one may still
+    /// reach the store, so the store counts as unavailable here only if no reader or relay reaches
+    /// it.
     ///
-    /// Guards against entries that are removed while the store turns some away: taken
-    /// for lapsed with the store, requests went to upstreams that had left.
-    fn source_lost_store(&self, id: Incarnation) {
+    /// Guards against entries that are removed while the store refuses some instances: these
+    /// removals were taken for entries that lapsed with the store, and requests went to upstreams
+    /// that had left.
+    fn handle_source_without_store(&self, id: Incarnation) {
         let state = &self.link.state;
         let now = state.now();
         let mut knowledge = state.knowledge();
@@ -368,26 +376,26 @@
         if state.news_source().instance() == Some(id) {
             self.link.mark_unavailable();
         } else {
-            log::info!(source:% = id; "the instance followed has lost the store");
+            log::info!(source:% = id; "the instance that this one follows cannot reach the store");
         }
     }
 
-    /// Returns once this instance hears from another and no longer from the store.
+    /// Returns once this instance follows another one and no longer reads the store itself.
     ///
-    /// Guards against a watch that hangs since the store fell silent. Others take this
-    /// instance's place, its own proof is not asked for any more, so that nothing shows
-    /// what it lacks; it waited for its watch for half a minute.
-    async fn until_others_tell(&self) {
+    /// Guards against a watch that hangs because the store stopped answering. Other instances take
+    /// over as readers and this one no longer polls the revision, so nothing shows that it lacks
+    /// changes; it waited for its watch for half a minute.
+    async fn until_following_others(&self) {
         while self.link.state.news_source() == NewsSource::Store {
-            Timer::after(NEWS_BEHIND).await;
+            Timer::after(BEHIND_CHECK_INTERVAL).await;
         }
     }
 
-    /// Returns once an instance answers no heartbeats any more.
+    /// Returns once an instance no longer answers heartbeats.
     async fn until_silent(&self, id: Incarnation) {
         let state = &self.link.state;
         loop {
-            Timer::after(NEWS_BEHIND).await;
+            Timer::after(BEHIND_CHECK_INTERVAL).await;
             let now = state.now();
             if !state.knowledge().instances.is_heard(now, id) {
                 return;
@@ -395,14 +403,14 @@
         }
     }
 
-    /// Returns once the store is known to have had changes for a while that did
-    /// not come: a connection is silent, or the store is deaf.
+    /// Returns once the store is known to have had changes for a while that did not arrive: a
+    /// connection hangs, or the store's watch delivers nothing.
     async fn until_behind(&self) {
         let is_behind = || self.link.state.knowledge().freshness.is_behind();
         loop {
-            Timer::after(NEWS_BEHIND).await;
+            Timer::after(BEHIND_CHECK_INTERVAL).await;
             if is_behind() {
-                Timer::after(NEWS_BEHIND).await;
+                Timer::after(BEHIND_CHECK_INTERVAL).await;
                 if is_behind() {
                     return;
                 }
@@ -411,9 +419,9 @@
     }
 }
 
-/// How long a process that has read nothing waits after so many failures.
+/// Pause before the next attempt of a process that has loaded nothing, with jitter.
 fn first_read_pause(failures: u32) -> Duration {
     let pause = FIRST_READ_PAUSE * failures.clamp(1, 8);
-    let pause = pause.min(FIRST_READ_PAUSE_MOST);
+    let pause = pause.min(MAX_FIRST_READ_PAUSE);
     pause.mul_f64(0.7 + 0.6 * fastrand::f64())
 }
--- a/crates/gateway/src/store_lease.rs
+++ b/crates/gateway/src/store_lease.rs
@@ -1,4 +1,5 @@
-//! Entries of instances in the store: this one's own, and those of silent ones.
+//! Entries of instances in the store: this instance's own, and those of instances that do
+//! not answer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,57 +13,58 @@
 use crate::store_link::CALL_TIMEOUT;
 use crate::store_link::StoreLink;
 
-/// Pause after the entry could not be written or its lease not renewed. Others are
-/// told of an instance that heartbeats alone keep known.
+/// Pause after the entry could not be written or its lease not renewed. Meanwhile
+/// heartbeats keep the instance known, and others pass it on to those that start.
 const RETRY_PAUSE: Duration = Duration::from_millis(1_000);
-/// How often it is looked for instances that are silent.
-const LOOK_EVERY: Duration = Duration::from_millis(300);
-/// The part of these looks, in hundredths, at which one is removed: of the few that
-/// watch an instance the first to remove it spares the others.
+/// Interval between checks for instances that do not answer.
+const CHECK_INTERVAL: Duration = Duration::from_millis(300);
+/// Probability, in percent, that a check removes such an instance: of the few instances
+/// that watch it, the first to remove its entry spares the others the call.
 const REMOVE_PERCENT: u32 = 35;
 
-/// What the store has of this instance.
+/// This instance's lease and entry in the store.
 #[derive(Debug, Default)]
-struct HeldEntry {
+struct Registration {
     lease: Option<LeaseId>,
-    /// False until its entry is there.
+    /// True while the entry is in the store.
     written: bool,
 }
 
-/// Keeps this instance's entry in the store, under a lease that outlives it by far:
-/// whoever watches a silent instance removes its entry long before.
+/// Keeps this instance's entry in the store, under a long lease. If the instance stops
+/// answering, those that watch it remove the entry long before the lease expires.
 #[derive(Debug)]
 pub(crate) struct StoreLease {
     pub(crate) link: Arc<StoreLink>,
 }
 
 impl StoreLease {
-    /// Keeps the entry until this instance leaves. It is written once those of
-    /// others were read, so that it takes the place of those of earlier starts.
+    /// Keeps the entry in the store until this instance leaves. It is written only after
+    /// the other entries were read, so that it can replace those of earlier starts.
     pub(crate) async fn keep_registered(self: Arc<Self>) {
         let state = &self.link.state;
         state.listed.wait().await;
-        let mut held = HeldEntry::default();
+        let mut registration = Registration::default();
         loop {
-            let had_lease = held.lease.is_some();
-            let pause = match self.keep_up(&mut held).await {
+            let had_lease = registration.lease.is_some();
+            let pause = match self.renew_or_write(&mut registration).await {
                 Ok(()) => state.settings.lease / 3,
                 Err(StoreError::LeaseGone) => {
-                    held = HeldEntry::default();
+                    registration = Registration::default();
                     if had_lease {
                         continue;
                     }
-                    // It ended as it was taken: the store is not well.
+                    // The lease ended as soon as it was granted, so the store has a
+                    // fault.
                     RETRY_PAUSE
                 }
                 Err(e) => {
-                    log::debug!(error:% = e; "entry not kept up; it is tried again");
+                    log::debug!(error:% = e; "own entry could not be written or renewed; retrying");
                     RETRY_PAUSE
                 }
             };
             if state.entry_gone.wait(pause).await && !state.is_leaving() {
-                log::info!("own entry is gone; it is written again");
-                held.written = false;
+                log::info!("own entry was removed; writing it again");
+                registration.written = false;
             }
         }
     }
@@ -75,27 +77,27 @@
             .link
             .call(StoreCall::Withdraw, CALL_TIMEOUT, withdrawing);
         if let Err(e) = ended.await {
-            log::info!(error:% = e; "entry not removed; others remove it");
+            log::info!(error:% = e; "own entry could not be removed; other instances will remove it");
         }
     }
 
-    /// Removes for good the entries of watched instances that are silent.
+    /// Removes the entries of watched instances that do not answer, forever.
     ///
-    /// The load that it answers: machines that lose power. An entry stayed until its
-    /// lease ran out, and callers were named its address; leases short enough for that
-    /// were a third of all that a fleet of 295 paid for its calls to the store.
+    /// Covers machines that lose power: their entries stayed until the leases expired,
+    /// and callers were given their addresses. Leases short enough to prevent that were a
+    /// third of what a fleet of 295 paid for its calls to the store.
     pub(crate) async fn remove_silent(self: Arc<Self>) {
         let state = &self.link.state;
         loop {
-            Timer::after(LOOK_EVERY).await;
+            Timer::after(CHECK_INTERVAL).await;
             if state.has_lost_store() {
                 continue;
             }
             let now = state.now();
             let silent: Vec<SilentInstance> = state.knowledge().instances.silent(now);
-            for one in silent {
+            for instance in silent {
                 if fastrand::u32(..100) < REMOVE_PERCENT {
-                    self.remove(one).await;
+                    self.remove(instance).await;
                 }
             }
         }
@@ -107,17 +109,17 @@
         let ended = self.link.call(StoreCall::Remove, CALL_TIMEOUT, removing);
         let outcome = ended.await.map_or_else(StoreError::as_str, |()| "done");
         let silent_ms = since.as_millis() as u64;
-        log::info!(instance:% = id, silent_ms, outcome; "silent instance removed");
+        log::info!(instance:% = id, silent_ms, outcome; "entry of an instance that does not answer: removal tried");
         let now = self.link.state.now();
         let mut knowledge = self.link.state.knowledge();
         knowledge.instances.removal_tried(now, id);
     }
 
-    /// Takes or renews the lease, and writes the entry if it is not there.
-    async fn keep_up(&self, held: &mut HeldEntry) -> Result<(), StoreError> {
+    /// Requests or renews the lease, and writes the entry if it is not there.
+    async fn renew_or_write(&self, registration: &mut Registration) -> Result<(), StoreError> {
         let StoreLink { state, store, .. } = &*self.link;
-        let lease = match held.lease {
-            Some(lease) if held.written => {
+        let lease = match registration.lease {
+            Some(lease) if registration.written => {
                 let renewing = store.renew(lease);
                 let renewed = self.link.call(StoreCall::Renew, CALL_TIMEOUT, renewing);
                 return renewed.await;
@@ -126,7 +128,7 @@
             None => {
                 let taking = store.lease(state.settings.lease);
                 let taken = self.link.call(StoreCall::Lease, CALL_TIMEOUT, taking);
-                *held.lease.insert(taken.await?)
+                *registration.lease.insert(taken.await?)
             }
         };
         let earlier = std::mem::take(&mut state.knowledge().earlier_starts);
@@ -135,7 +137,7 @@
             .link
             .call(StoreCall::Announce, CALL_TIMEOUT, announcing);
         written.await?;
-        held.written = true;
+        registration.written = true;
         Ok(())
     }
 }
--- a/crates/gateway/src/store_link.rs
+++ b/crates/gateway/src/store_link.rs
@@ -1,4 +1,4 @@
-//! Calls to the store, and what they say of it.
+//! Calls to the store, and whether the store is available.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,28 +14,29 @@
 use crate::store_call::StoreCall;
 use crate::store_call::StoreCallCounts;
 
-/// How long a call may take. Six times what the slowest store of the users'
-/// pages took; a connection that is silent for longer is given up.
+/// Timeout of a call: six times the slowest answer of a store in the users'
+/// documentation. A connection that is silent for longer is given up.
 pub(crate) const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// The same for two calls of three while the store is away: more than its slowest
-/// answers on the users' pages.
-const AWAY_CALL_WITHIN: Duration = Duration::from_millis(400);
+/// The same for two calls of three during an outage: more than the store's slowest
+/// answers in the users' documentation.
+const OUTAGE_CALL_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How often the calls made are logged: one line in as much time as a few proofs.
-const REPORT_EVERY: Duration = Duration::from_secs(10);
+/// Interval between the log lines that count calls: one line in the time of a few
+/// revision polls.
+const REPORT_INTERVAL: Duration = Duration::from_secs(10);
 
-/// How long a call may take after so many that failed. A connection that was
-/// begun while the store was away may hang for its whole time after the return; a
-/// new one is tried sooner.
+/// Timeout of a call after so many failures. A connection opened during an outage may
+/// hang for its whole timeout after the store's return, so that most retries have a
+/// shorter timeout and try a new connection sooner.
 pub(crate) fn call_timeout(failures: u32) -> Duration {
     match failures % 3 {
         0 => CALL_TIMEOUT,
-        _ => AWAY_CALL_WITHIN,
+        _ => OUTAGE_CALL_TIMEOUT,
     }
 }
 
-/// Calls to the store. What comes of them tells whether it is there.
+/// Makes calls to the store, and derives from their results whether it is available.
 #[derive(Debug)]
 pub(crate) struct StoreLink {
     pub(crate) state: Arc<State>,
@@ -44,15 +45,15 @@
 }
 
 impl StoreLink {
-    /// Makes a call; lost if it takes longer than `patience`.
+    /// Makes a call; [`StoreError::NoAnswer`] if it takes longer than `timeout`.
     pub(crate) async fn call<T>(
         &self,
         kind: StoreCall,
-        patience: Duration,
+        timeout: Duration,
         call: impl Future<Output = Result<T, StoreError>>,
     ) -> Result<T, StoreError> {
         self.counts.add(kind);
-        let result = within(patience, call).await;
+        let result = within(timeout, call).await;
         let result = result.unwrap_or(Err(StoreError::NoAnswer));
         let outcome = match &result {
             Ok(_) => "done",
@@ -62,10 +63,10 @@
         result
     }
 
-    /// Logs for good how many calls there were.
+    /// Logs the number of calls, forever.
     pub(crate) async fn log_call_counts(self: Arc<Self>) {
         loop {
-            Timer::after(REPORT_EVERY).await;
+            Timer::after(REPORT_INTERVAL).await;
             if let Some(counts) = self.counts.take() {
                 let source = self.state.news_source();
                 log::info!(counts = counts.as_str(), source:? = source; "store calls");
@@ -73,7 +74,7 @@
         }
     }
 
-    /// The store answered this instance.
+    /// Notes that the store answered this instance.
     pub(crate) fn call_succeeded(&self) {
         let now = self.state.now();
         let me = self.state.me.incarnation;
@@ -83,18 +84,18 @@
         self.mark_available();
     }
 
-    /// The store answers, this instance or the one that it follows.
+    /// Marks the store as available, to this instance or to the one that it follows.
     pub(crate) fn mark_available(&self) {
         let now = self.state.now();
         let back = self.state.knowledge().upstreams.store_back(now);
         if back {
             self.state.store_back.give();
             self.state.news.notify(usize::MAX);
-            log::info!("store answers again");
+            log::info!("store is available again");
         }
     }
 
-    /// The store did not answer this instance.
+    /// Notes that a call of this instance failed.
     pub(crate) fn call_failed(&self, kind: StoreCall, e: StoreError) {
         log::warn!(call = kind.as_str(), error:% = e; "store call failed");
         let now = self.state.now();
@@ -102,13 +103,15 @@
         let mut knowledge = self.state.knowledge();
         knowledge.note_source(now, me, SourceState::StoreAway);
         drop(knowledge);
-        // The store may turn just this instance away while another hears it.
+        // The store may refuse this instance alone while the update source still reaches
+        // it.
         if self.state.news_source() == NewsSource::Store {
             self.mark_unavailable();
         }
     }
 
-    /// Nobody from whom this instance could hear has the store.
+    /// Marks the store as unavailable to this instance and to all its possible update
+    /// sources.
     pub(crate) fn mark_unavailable(&self) {
         let mut knowledge = self.state.knowledge();
         if knowledge.upstreams.is_store_away() {
@@ -116,7 +119,7 @@
         }
         knowledge.upstreams.store_away();
         drop(knowledge);
-        log::warn!("store away; what is known stays in use");
+        log::warn!("store is unavailable; the current state stays in use");
         self.state.proof_wanted.give();
         self.state.news.notify(usize::MAX);
     }
