--- a/crates/gateway/tests/restored/main.rs
+++ b/crates/gateway/tests/restored/main.rs
@@ -1,7 +1,7 @@
-//! Whole gateways at a store that comes back from a copy.
+//! Gateways with a store that is restored from a copy.
 //!
-//! A program of their own: the fleets of all tests of one program together would hold
-//! more connections than one process may have open.
+//! A test binary of its own, because the fleets of all tests together would hold more
+//! connections than one process may have open.
 
 #![allow(clippy::expect_used, clippy::panic)]
 
--- a/crates/gateway/tests/restored/restored_store.rs
+++ b/crates/gateway/tests/restored/restored_store.rs
@@ -1,4 +1,5 @@
-//! A store that comes back from a copy some changes old, and gives out revisions again.
+//! A store that is restored from an older copy, and then assigns the same revisions
+//! again.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -17,14 +18,15 @@
 use crate::fakes::Reply;
 use crate::fakes::deployment;
 
-/// The users' bound on a change that was confirmed, and on an upstream that leaves.
+/// The users' bound on the time until an acknowledged change, or the leaving of an
+/// upstream, takes effect.
 const IN_FORCE_WITHIN: Duration = Duration::from_millis(2_000);
-/// From one look to the next.
-const LOOK: Duration = Duration::from_millis(20);
-/// Changes that are lost with the copy.
-const LOST: usize = 40;
+/// Interval between checks.
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Changes that the restore loses.
+const LOST_CHANGES: usize = 40;
 
-/// A fleet of so many instances before two upstreams.
+/// A fleet of this many instances with two upstreams.
 fn fleet(instances: usize) -> Harness {
     let replies = vec![vec![Reply::Whole("a")], vec![Reply::Whole("b")]];
     let mut harness = Harness::start(replies);
@@ -32,31 +34,31 @@
     harness
 }
 
-/// Waits until all instances serve and have seen all changes; then has the store lose
+/// Waits until all instances serve and have applied all changes, then has the store lose
 /// the last of them.
 async fn lose_changes(harness: &Harness, instances: usize) {
     harness.until_ready(true).await;
     harness.until_all_answer("/open/x", 200).await;
     harness.until_announced(instances).await;
     let kept = harness.store.len();
-    change_often(harness);
-    until_seen(harness, instances).await;
+    make_unrelated_changes(harness);
+    until_caught_up(harness, instances).await;
     harness.store.restore(kept);
 }
 
-/// Waits until those that watch the store have seen all that it holds.
-async fn until_seen(harness: &Harness, instances: usize) {
+/// Waits until the instances that watch the store have applied all its changes.
+async fn until_caught_up(harness: &Harness, instances: usize) {
     if instances >= SMALL_FLEET {
         return harness.until_two_watch().await;
     }
     while !harness.store.is_caught_up() {
-        Timer::after(LOOK).await;
+        Timer::after(CHECK_INTERVAL).await;
     }
 }
 
-/// Changes that say nothing of what is served.
-fn change_often(harness: &Harness) {
-    for n in 0..LOST / 2 {
+/// Makes changes that do not affect requests.
+fn make_unrelated_changes(harness: &Harness) {
+    for n in 0..LOST_CHANGES / 2 {
         let zone = Name::try_from(format!("other-{n}").as_str()).expect("a name");
         harness
             .store
@@ -65,20 +67,21 @@
     }
 }
 
-/// A further version of the deployment, with a route that was added.
+/// A later version of the deployment, with an added route.
 fn version(version: u64) -> Change {
     let mut next = deployment();
     let mut added = next.routes[0].clone();
     added.name = "added".into();
     added.prefix = "/added/".into();
-    // Served without proof of what is in force, which lasts for a moment only here.
+    // Served without recent proof, because proof is valid only for a moment in these
+    // tests.
     added.public = true;
     next.routes.push(added);
     Change::Put(Record::Deployment(Box::new(Deployment { version, ..next })))
 }
 
-/// Asks every instance until it answers with `status`, for as long as is allowed.
-async fn all_answer(harness: &Harness, instances: usize, path: &str, status: u16) {
+/// Sends requests to each instance until it answers with `status`, within the bound.
+async fn assert_all_answer(harness: &Harness, instances: usize, path: &str, status: u16) {
     let until = Instant::now() + IN_FORCE_WITHIN;
     for n in 0..instances {
         loop {
@@ -91,13 +94,13 @@
                 "instance {n} of {instances} answers {} on {path}",
                 received.status
             );
-            Timer::after(LOOK).await;
+            Timer::after(CHECK_INTERVAL).await;
         }
     }
 }
 
-/// The operator adds a route after the restore, under a revision that is lower than one from before
-/// it. The change is confirmed and was never taken in.
+/// The operator adds a route after the restore, under a revision that is lower than one
+/// from before it. Such a change was acknowledged and never applied.
 #[test_case(1; "alone")]
 #[test_case(9; "each reads the store")]
 #[test_case(20; "two read it for all")]
@@ -106,11 +109,11 @@
     block_on(async {
         lose_changes(&harness, instances).await;
         harness.store.change(version(2));
-        all_answer(&harness, instances, "/added/x", 200).await;
+        assert_all_answer(&harness, instances, "/added/x", 200).await;
     });
 }
 
-/// An upstream says after the restore that it leaves, under such a revision.
+/// An upstream's entry says after the restore that it leaves, under such a revision.
 #[test_case(1; "alone")]
 #[test_case(9; "each reads the store")]
 #[test_case(20; "two read it for all")]
@@ -133,8 +136,8 @@
     });
 }
 
-/// An upstream leaves, and the copy that the store comes back from says that it is ready, or names
-/// it although its entry was removed.
+/// An upstream leaves, and the store is restored from a copy in which the upstream is
+/// still ready, or in which its removed entry is still there.
 #[test_case(false; "its entry says so")]
 #[test_case(true; "its entry is removed")]
 fn an_upstream_that_left_before_a_restore_gets_nothing_new(removed: bool) {
@@ -146,9 +149,9 @@
         if removed {
             harness.store.change(Change::UpstreamRemoved("i-0".into()));
         }
-        until_seen(&harness, 1).await;
+        until_caught_up(&harness, 1).await;
         harness.store.restore(kept);
-        until_seen(&harness, 1).await;
+        until_caught_up(&harness, 1).await;
         let asked = harness.upstreams[0].count();
         let until = Instant::now() + IN_FORCE_WITHIN;
         while Instant::now() < until {
@@ -162,7 +165,7 @@
     });
 }
 
-/// A zone is evacuated, and the copy that the store comes back from is older than that.
+/// A zone is evacuated, and the store is restored from a copy from before that.
 #[test]
 fn a_zone_that_was_evacuated_before_a_restore_gets_nothing_new() {
     let harness = fleet(1);
@@ -170,14 +173,14 @@
     block_on(async {
         harness.until_ready(true).await;
         harness.place_in_zone(0, "b");
-        until_seen(&harness, 1).await;
+        until_caught_up(&harness, 1).await;
         let kept = harness.store.len();
         harness
             .store
             .change(Change::Put(Record::EvacuatedZone(zone)));
-        until_seen(&harness, 1).await;
+        until_caught_up(&harness, 1).await;
         harness.store.restore(kept);
-        until_seen(&harness, 1).await;
+        until_caught_up(&harness, 1).await;
         let asked = harness.upstreams[0].count();
         let until = Instant::now() + IN_FORCE_WITHIN;
         while Instant::now() < until {
@@ -191,24 +194,25 @@
     });
 }
 
-/// A version is in force, and the store comes back from a copy that is older. An instance that starts
-/// then reads the older one, and must not serve by it until the operator has written the newer one again.
+/// The store is restored from a copy that is older than the version in force. An instance
+/// that starts then reads the older version, and must not serve by it before the operator
+/// has written the newer one again.
 #[test_case(1; "alone")]
 #[test_case(9; "each reads the store")]
 #[test_case(20; "two read it for all")]
-fn a_version_in_force_before_a_restore_stays_so(instances: usize) {
+fn a_version_in_force_before_a_restore_stays_in_force(instances: usize) {
     let mut harness = fleet(instances);
     block_on(async {
         harness.until_ready(true).await;
         harness.until_announced(instances).await;
         let kept = harness.store.len();
         harness.store.change(version(2));
-        all_answer(&harness, instances, "/added/x", 200).await;
-        until_seen(&harness, instances).await;
+        assert_all_answer(&harness, instances, "/added/x", 200).await;
+        until_caught_up(&harness, instances).await;
         harness.store.restore(kept);
-        all_answer(&harness, instances, "/added/x", 200).await;
+        assert_all_answer(&harness, instances, "/added/x", 200).await;
         harness.add_gateways(1);
-        all_answer(&harness, instances + 1, "/added/x", 200).await;
+        assert_all_answer(&harness, instances + 1, "/added/x", 200).await;
         for n in 0..(instances + 1) * 2 {
             let received = harness.ask_instance(n, "/added/x", "x").await;
             assert_ne!(received.status, 404, "an older version is in force");
@@ -216,10 +220,10 @@
     });
 }
 
-/// The operator writes versions again in any order, and one of them under a number that the
-/// store had given to another before.
+/// The operator writes versions again in any order, and one of them under a revision that
+/// the store had given to another one before.
 #[test]
-fn versions_are_written_again_in_any_order() {
+fn versions_can_be_written_again_in_any_order() {
     let harness = fleet(1);
     block_on(async {
         harness.until_ready(true).await;
@@ -230,20 +234,21 @@
                 version: 4,
                 ..deployment()
             }))));
-        until_seen(&harness, 1).await;
+        until_caught_up(&harness, 1).await;
         harness.store.restore(kept);
         harness.store.change(version(3));
-        until_seen(&harness, 1).await;
+        until_caught_up(&harness, 1).await;
         assert_ne!(harness.ask("/added/x", "older").await.status, 200);
         harness.store.change(version(4));
-        all_answer(&harness, 1, "/added/x", 200).await;
+        assert_all_answer(&harness, 1, "/added/x", 200).await;
     });
 }
 
-/// An instance that still is in the earlier era has younger proof, which counts nowhere in the later
-/// one. Told at once each time, the one that follows it would ask again without a pause.
+/// An instance that is still in the earlier era has a newer proof, which is of no use in
+/// the later era. If it answered at once each time, an instance that follows it would
+/// send requests without a pause.
 #[test]
-fn proof_of_an_earlier_era_is_no_news_in_a_later_one() {
+fn proof_of_an_earlier_era_does_not_end_a_follow_request() {
     let harness = fleet(2);
     block_on(async {
         harness.until_all_answer("/open/x", 200).await;
@@ -261,27 +266,29 @@
     });
 }
 
-/// An instance was cut off from the store, or stood still, while that was restored and its revisions
-/// passed those from before. What it asks for next is answered with changes of the new era alone.
+/// An instance was cut off from the store, or stopped for a while, during a restore, and
+/// the new revisions passed the old ones meanwhile. Its next watch is answered with
+/// changes of the new era alone.
 #[test]
-fn an_instance_that_was_away_meanwhile_takes_in_what_it_missed() {
+fn an_instance_cut_off_during_a_restore_applies_what_it_missed() {
     let harness = fleet(1);
     block_on(async {
         harness.until_ready(true).await;
         let kept = harness.store.len();
-        change_often(&harness);
-        until_seen(&harness, 1).await;
+        make_unrelated_changes(&harness);
+        until_caught_up(&harness, 1).await;
         harness.store.set_unavailable(true);
         harness.store.restore(kept);
         harness.store.change(version(2));
-        change_often(&harness);
-        change_often(&harness);
+        make_unrelated_changes(&harness);
+        make_unrelated_changes(&harness);
         harness.store.set_unavailable(false);
-        all_answer(&harness, 1, "/added/x", 200).await;
+        assert_all_answer(&harness, 1, "/added/x", 200).await;
     });
 }
 
-/// The store comes back from a copy, and again from an older one before all has settled.
+/// The store is restored from a copy, and again from an older one before the instances
+/// have caught up.
 #[test_case(1; "alone")]
 #[test_case(20; "two read it for all")]
 fn a_change_after_two_restores_is_in_force(instances: usize) {
@@ -292,13 +299,14 @@
         harness.store.change(version(2));
         harness.store.restore(kept.saturating_sub(1));
         harness.store.change(version(3));
-        all_answer(&harness, instances, "/added/x", 200).await;
+        assert_all_answer(&harness, instances, "/added/x", 200).await;
     });
 }
 
-/// The store turns those away that read it for all, as it comes back from a copy.
+/// The store refuses the instances that read it for the fleet, just when it has been
+/// restored from a copy.
 #[test]
-fn a_change_after_a_restore_is_in_force_though_those_that_watch_are_turned_away() {
+fn a_change_after_a_restore_is_in_force_though_the_readers_are_refused() {
     let harness = fleet(20);
     block_on(async {
         lose_changes(&harness, 20).await;
--- a/crates/gateway/tests/whole/crashes.rs
+++ b/crates/gateway/tests/whole/crashes.rs
@@ -1,4 +1,4 @@
-//! Requests that end the upstreams which run them.
+//! Requests that crash the upstreams that run them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,38 +19,39 @@
 use crate::fakes::crash_fleet::until_quarantined;
 use crate::fakes::crash_fleet::until_quarantined_everywhere;
 
-/// Instances of a fleet that is too large for all to hear all.
+/// Instances of a fleet in which each exchanges heartbeats with a few others only.
 const LARGE_FLEET: usize = 24;
-/// How long after the third end instances in touch may still learn of it: the users'
-/// bound for news among them.
-const KNOWN_WITHIN: Duration = Duration::from_millis(3_000);
-/// How long it may take to find a request that is sent without a pause: what three ends
-/// take, and the time for news.
+/// How long after the third crash instances may take to learn of the quarantine: the
+/// users' bound for news between instances that can reach each other.
+const SPREAD_WITHIN: Duration = Duration::from_millis(3_000);
+/// How long it may take to quarantine a request that is sent without a pause: the time of
+/// three crashes, and the time to spread the quarantine.
 const FOUND_WITHIN: Duration = Duration::from_millis(10_000);
 /// How often such a request may reach an upstream after that, as the users allow.
-const MORE_ALLOWED: usize = 3;
+const MAX_LATE_RUNS: usize = 3;
 
-/// The request with `bad` in its path ended upstreams, and was kept from them in time.
-fn assert_kept_away(upstreams: &CrashingUpstreams) {
+/// Asserts that the request with `bad` in its path crashed upstreams, and was quarantined
+/// in time.
+fn assert_quarantined_in_time(upstreams: &CrashingUpstreams) {
     let ends = upstreams.ends();
-    assert!(ends.len() >= 3, "it ended {} upstreams", ends.len());
-    let known = ends[2] + KNOWN_WITHIN;
+    assert!(ends.len() >= 3, "it crashed {} upstreams", ends.len());
+    let known = ends[2] + SPREAD_WITHIN;
     let runs = upstreams.runs();
     let late = runs.iter().filter(|r| r.path.contains("bad"));
     let late = late.filter(|r| r.at > known).count();
     assert!(
-        late <= MORE_ALLOWED,
-        "{late} runs more, {} ends",
+        late <= MAX_LATE_RUNS,
+        "{late} late runs, {} crashes",
         ends.len()
     );
 }
 
-/// A request ends each upstream that begins to run it, within 120 ms of `answer began`,
-/// and its caller sends it again, to another instance each time. Every attempt had an
-/// identity of its own and every instance took it for new: 17 of nine upstreams ended
-/// in ten seconds, ten of them after three had shown what it does.
+/// A request crashes each upstream that runs it, within 120 ms of `answer began`, and its
+/// caller sends it again, to another instance each time. Each attempt had its own
+/// identity and each instance took the request for a new one: 17 of nine upstreams
+/// crashed in ten seconds, ten of them after three had shown the cause.
 #[test]
-fn a_request_that_ends_its_upstreams_is_kept_from_them_everywhere() {
+fn a_request_that_crashes_upstreams_is_quarantined_on_all_instances() {
     let mut harness = Harness::start(Vec::new());
     harness.add_gateways(INSTANCES - 1);
     let upstreams = CrashingUpstreams::start(harness.executor(), &harness.store, 6);
@@ -60,19 +61,20 @@
         let pause = Duration::from_millis(150);
         let span = Duration::from_millis(6_000);
         send_repeatedly(&harness, "/stream/bad", pause, span).await;
-        assert_kept_away(&upstreams);
+        assert_quarantined_in_time(&upstreams);
     });
 }
 
-/// The same on every way to an upstream: with one answer, that may run again or not, and as
-/// a stream that goes on elsewhere or not. Once it is known, all instances refuse it, as
-/// not run, and no upstream sees it any more.
+/// The same for each kind of route: a plain answer that may or may not run again, a
+/// stream that may or may not resume elsewhere, and a request after a stage. Once the
+/// request is quarantined, all instances refuse it as not run, and no upstream gets it
+/// any more.
 #[test_case("/any/bad" ; "with one answer")]
 #[test_case("/once/bad" ; "that runs once")]
 #[test_case("/resume/bad" ; "as a stream that goes on elsewhere")]
 #[test_case("/stream/bad" ; "as a stream that runs once")]
 #[test_case("/staged/bad" ; "after a stage")]
-fn a_request_that_ends_its_upstreams_reaches_none_of_them(path: &'static str) {
+fn a_quarantined_request_reaches_no_upstream(path: &'static str) {
     let (harness, upstreams) = fleet(6);
     let harness = Arc::new(harness);
     block_on(async {
@@ -89,11 +91,11 @@
     });
 }
 
-/// A request has stages, whose pieces are worked on well, many at a time, before it ends
-/// each upstream that runs itself. A piece that was done spoke for the whole request, and
-/// released it as soon as it was held: 13 upstreams ended after the third.
+/// A request has stages, of which many pieces complete at a time, before it crashes each
+/// upstream that runs the request itself. A completed piece counted for the whole request
+/// and released it as soon as it was quarantined: 13 upstreams crashed after the third.
 #[test]
-fn pieces_that_are_done_release_no_request() {
+fn completed_pieces_release_no_request() {
     let (harness, upstreams) = fleet(6);
     let harness = Arc::new(harness);
     block_on(async {
@@ -101,14 +103,15 @@
         let pause = Duration::from_millis(30);
         let span = Duration::from_millis(7_000);
         send_repeatedly(&harness, "/staged/bad", pause, span).await;
-        assert_kept_away(&upstreams);
+        assert_quarantined_in_time(&upstreams);
     });
 }
 
-/// A request runs well at many upstreams, and a moment later it ends each that runs it, as
-/// after a release. That it ran before is remembered, and it was let through for that.
+/// A request completes at many upstreams, and a moment later it crashes each that runs
+/// it, as after a release of new software. Its earlier completed runs kept it from being
+/// quarantined.
 #[test]
-fn a_request_that_ran_well_before_is_found_once_it_ends_upstreams() {
+fn a_request_that_completed_before_is_quarantined_once_it_crashes_upstreams() {
     let (harness, upstreams) = fleet(6);
     let harness = Arc::new(harness);
     block_on(async {
@@ -117,7 +120,7 @@
             let received = harness.ask_instance(n, "/stream/turns", "before").await;
             assert!(received.whole);
         }
-        upstreams.turn();
+        upstreams.start_crashing_on_turns();
         let turned = Instant::now();
         until_quarantined_everywhere(&harness, "/stream/turns").await;
         assert!(upstreams.ends().len() >= 3);
@@ -125,10 +128,11 @@
     });
 }
 
-/// All instances are lost at once, with what they know, after a request was found to end
-/// upstreams. Those that start read of it before they serve anybody.
+/// All instances are lost at once, with their state, after a request was quarantined. The
+/// instances that start next read the quarantine from the store before they serve
+/// requests.
 #[test]
-fn what_was_found_outlives_all_instances() {
+fn a_quarantine_outlives_all_instances() {
     let (mut harness, upstreams) = fleet(6);
     harness = block_on(async {
         let harness = Arc::new(harness);
@@ -136,7 +140,10 @@
         until_quarantined_everywhere(&harness, "/stream/bad").await;
         let until = Instant::now() + TEST_TIMEOUT;
         while !harness.store.holds_quarantine() {
-            assert!(Instant::now() < until, "the store was told nothing");
+            assert!(
+                Instant::now() < until,
+                "the quarantine was not written to the store"
+            );
             Timer::after(Duration::from_millis(10)).await;
         }
         Arc::into_inner(harness).expect("no request in flight")
@@ -153,10 +160,10 @@
     assert_eq!(runs_of(&upstreams, "bad"), before);
 }
 
-/// The store takes no writes. What was found reaches all instances all the same, from one
-/// to the other.
+/// The store refuses to write the quarantine. It still reaches all instances, through
+/// heartbeats.
 #[test]
-fn what_was_found_reaches_all_though_the_store_does_not_take_it() {
+fn a_quarantine_reaches_all_instances_though_the_store_refuses_it() {
     let (harness, _upstreams) = fleet(6);
     harness.store.refuse_quarantine();
     let harness = Arc::new(harness);
@@ -165,14 +172,14 @@
         until_quarantined(&harness, "/stream/bad").await;
         let known = Instant::now();
         until_quarantined_everywhere(&harness, "/stream/bad").await;
-        assert!(known.elapsed() < KNOWN_WITHIN);
+        assert!(known.elapsed() < SPREAD_WITHIN);
         assert!(!harness.store.holds_quarantine());
     });
 }
 
-/// The same in a fleet in which an instance exchanges heartbeats with a few others only.
+/// The same in a fleet in which each instance exchanges heartbeats with a few others only.
 #[test]
-fn what_was_found_reaches_all_of_a_large_fleet() {
+fn a_quarantine_reaches_all_instances_of_a_large_fleet() {
     let mut harness = Harness::start(Vec::new());
     harness.add_gateways(LARGE_FLEET - 1);
     let _upstreams = CrashingUpstreams::start(harness.executor(), &harness.store, 6);
@@ -188,6 +195,6 @@
                 Timer::after(Duration::from_millis(20)).await;
             }
         }
-        assert!(known.elapsed() < KNOWN_WITHIN, "{:?}", known.elapsed());
+        assert!(known.elapsed() < SPREAD_WITHIN, "{:?}", known.elapsed());
     });
 }
--- a/crates/gateway/tests/whole/evacuation.rs
+++ b/crates/gateway/tests/whole/evacuation.rs
@@ -1,4 +1,4 @@
-//! Zones that the operator evacuates, through a whole gateway.
+//! Evacuation of availability zones by the operator, tested on a whole gateway.
 
 use std::time::Duration;
 
@@ -15,25 +15,25 @@
     Name::try_from(name).expect("a name")
 }
 
-/// Two upstreams, the second in another zone.
+/// A gateway with two upstreams, the second in another zone.
 fn two_zones() -> Harness {
     let harness = Harness::start(vec![vec![Reply::Whole("a")], vec![Reply::Whole("b")]]);
     harness.place_in_zone(1, "b");
     harness
 }
 
-async fn until_seen(harness: &Harness) {
+async fn until_caught_up(harness: &Harness) {
     while !harness.store.is_caught_up() {
         Timer::after(Duration::from_millis(5)).await;
     }
 }
 
-/// The operator evacuates a zone and switches its upstreams off some seconds later. What
-/// was sent there in between was lost with them: nothing read the operator's word, and
-/// requests went on to the zone as before. Here it is the zone that this instance
-/// prefers.
+/// The operator evacuates a zone and switches its upstreams off some seconds later.
+/// Instances did not read the evacuation record, went on sending requests to the zone,
+/// and these were lost with the upstreams. The evacuated zone is the one that this
+/// instance prefers.
 #[test]
-fn an_evacuated_zone_gets_nothing_until_it_is_taken_back() {
+fn an_evacuated_zone_gets_no_requests_until_the_evacuation_ends() {
     let harness = two_zones();
     block_on(async {
         harness.until_ready(true).await;
@@ -41,21 +41,21 @@
         harness
             .store
             .change(Change::Put(Record::EvacuatedZone(zone("a"))));
-        until_seen(&harness).await;
+        until_caught_up(&harness).await;
         for n in 0..40 {
             let received = harness.ask("/any/x", &n.to_string()).await;
             assert_eq!(received.body, "b");
         }
         harness.store.change(Change::EvacuationEnded(zone("a")));
-        until_seen(&harness).await;
+        until_caught_up(&harness).await;
         while harness.ask("/any/x", "later").await.body != "a" {}
     });
 }
 
-/// All zones that have an upstream are evacuated. There is nobody left to ask, and the
-/// caller is told at once that nothing ran.
+/// All zones that have an upstream are evacuated. No upstream is left, and the caller is
+/// refused at once, as not run.
 #[test]
-fn a_booking_is_refused_as_not_run_while_all_zones_are_evacuated() {
+fn a_request_is_refused_as_not_run_while_all_zones_are_evacuated() {
     let harness = two_zones();
     block_on(async {
         harness.until_ready(true).await;
@@ -63,15 +63,15 @@
             let evacuated = Record::EvacuatedZone(zone(name));
             harness.store.change(Change::Put(evacuated));
         }
-        until_seen(&harness).await;
+        until_caught_up(&harness).await;
         let received = harness.ask("/once/x", "1").await;
         assert_eq!(received.status, 503);
         assert_eq!(received.run.as_deref(), Some("not run"));
     });
 }
 
-/// An instance starts while a zone is evacuated. It hears of it with everything else
-/// that the store holds, before it serves.
+/// An instance starts while a zone is evacuated. It reads the evacuation with the other
+/// records of the store, before it serves.
 #[test]
 fn an_instance_that_starts_knows_which_zones_are_evacuated() {
     let mut harness = two_zones();
@@ -79,7 +79,7 @@
         harness.until_ready(true).await;
         let evacuated = Record::EvacuatedZone(zone("a"));
         harness.store.change(Change::Put(evacuated));
-        until_seen(&harness).await;
+        until_caught_up(&harness).await;
         harness.restart_gateways();
         harness.until_ready(true).await;
         for n in 0..40 {
--- a/crates/gateway/tests/whole/fakes/crash_fleet.rs
+++ b/crates/gateway/tests/whole/fakes/crash_fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet before upstreams that end, and those who ask it.
+//! A fleet with upstreams that can crash, and callers of it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,12 +14,12 @@
 
 /// Instances of a fleet in these tests.
 pub(crate) const INSTANCES: usize = 5;
-/// How long is waited for what has to come.
+/// Timeout of waits for an expected event.
 pub(crate) const TEST_TIMEOUT: Duration = Duration::from_secs(40);
-/// How long the stage before some requests takes.
+/// Duration of the stage that some requests have.
 const STAGE_TAKES: Duration = Duration::from_millis(40);
 
-/// A fleet before so many upstreams that end.
+/// A fleet with this many upstreams that can crash.
 pub(crate) fn fleet(upstreams: usize) -> (Harness, Arc<CrashingUpstreams>) {
     let stage = vec![Reply::Late("made", STAGE_TAKES)];
     let mut harness = Harness::start_staged(Vec::new(), stage);
@@ -28,8 +28,8 @@
     (harness, upstreams)
 }
 
-/// Sends a request again and again, every `pause`, to one instance after the other, for
-/// as long as given. Waits for no answer, and for all of them at the end.
+/// Sends a request every `pause` for `span`, to one instance after the other, without
+/// waiting for the answers; returns all answers at the end.
 pub(crate) async fn send_repeatedly(
     harness: &Arc<Harness>,
     path: &'static str,
@@ -37,7 +37,7 @@
     span: Duration,
 ) -> Vec<Received> {
     let began = Instant::now();
-    let mut asked = Vec::new();
+    let mut sent = Vec::new();
     for n in 0.. {
         if began.elapsed() > span {
             break;
@@ -47,17 +47,17 @@
             let id = format!("{path}-{n}");
             caller.ask_instance(n, path, &id).await
         };
-        asked.push(harness.spawn(asking));
+        sent.push(harness.spawn(asking));
         Timer::after(pause).await;
     }
-    let mut received = Vec::with_capacity(asked.len());
-    for asking in asked {
+    let mut received = Vec::with_capacity(sent.len());
+    for asking in sent {
         received.push(asking.await);
     }
     received
 }
 
-/// Does so beside the test.
+/// The same in a task of its own.
 pub(crate) fn spawn_repeated_sends(
     harness: &Arc<Harness>,
     path: &'static str,
@@ -68,11 +68,11 @@
     harness.spawn(async move { send_repeatedly(&caller, path, pause, span).await })
 }
 
-/// Sends a request until an instance refuses it as one that ends upstreams.
+/// Sends a request until an instance refuses it as quarantined.
 pub(crate) async fn until_quarantined(harness: &Arc<Harness>, path: &'static str) {
     let until = Instant::now() + TEST_TIMEOUT;
     for n in 0.. {
-        assert!(Instant::now() < until, "it is let in all the time");
+        assert!(Instant::now() < until, "no instance quarantined it");
         let received = harness.ask_instance(n, path, &format!("{path}-{n}")).await;
         if is_quarantined(&received) {
             return;
@@ -81,13 +81,13 @@
     }
 }
 
-/// Waits until every instance refuses a request as one that ends upstreams.
+/// Waits until every instance refuses a request as quarantined.
 pub(crate) async fn until_quarantined_everywhere(harness: &Arc<Harness>, path: &'static str) {
     until_quarantined(harness, path).await;
     let until = Instant::now() + TEST_TIMEOUT;
     for n in 0..INSTANCES {
         while !is_quarantined(&harness.ask_instance(n, path, "again").await) {
-            assert!(Instant::now() < until, "an instance lets it in");
+            assert!(Instant::now() < until, "an instance did not quarantine it");
             Timer::after(Duration::from_millis(20)).await;
         }
     }
--- a/crates/gateway/tests/whole/fakes/crashing_upstreams.rs
+++ b/crates/gateway/tests/whole/fakes/crashing_upstreams.rs
@@ -1,4 +1,4 @@
-//! Upstreams that end with the requests which make them end.
+//! Upstreams that crash when they run certain requests.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -29,26 +29,26 @@
 use crate::fakes::FakeStore;
 use crate::fakes::deployments::entry;
 
-/// From the first event of a request that ends its upstream to that end.
-const ENDS_AFTER: Duration = Duration::from_millis(20);
-/// How long an upstream is down before it is back under another identity.
-const DOWN: Duration = Duration::from_millis(400);
-/// From the removal of an entry to the end of its upstream.
-const LEAVES_AFTER: Duration = Duration::from_millis(250);
-/// How long a request takes that works.
-const WORK: Duration = Duration::from_millis(30);
-/// How long one takes whose path says that it is long.
-const LONG_WORK: Duration = Duration::from_millis(700);
-
-/// What an upstream was asked to run, and when.
+/// Time from the first event of a request that crashes its upstream to the crash.
+const CRASH_DELAY: Duration = Duration::from_millis(20);
+/// How long a crashed upstream is down before it restarts under another identity.
+const DOWNTIME: Duration = Duration::from_millis(400);
+/// Time from the removal of an entry to the end of its upstream.
+const LEAVE_DELAY: Duration = Duration::from_millis(250);
+/// Duration of a request that completes.
+const RUN_TIME: Duration = Duration::from_millis(30);
+/// The same for a request with `long` in its path.
+const LONG_RUN_TIME: Duration = Duration::from_millis(700);
+
+/// A request that reached an upstream.
 #[derive(Debug, Clone)]
 pub(crate) struct UpstreamRun {
     pub(crate) path: String,
     pub(crate) at: Instant,
 }
 
-/// Upstreams of one service. One that runs a request with `bad` in its path ends, with
-/// all that it has, and another is in its place a little later.
+/// Upstreams of one service. A request with `bad` in its path crashes the upstream that
+/// runs it, with all its requests, and another one replaces it a little later.
 #[derive(Debug)]
 pub(crate) struct CrashingUpstreams {
     executor: Arc<Executor<'static>>,
@@ -67,7 +67,7 @@
 }
 
 #[derive(Debug)]
-struct At {
+struct UpstreamHandler {
     all: Arc<CrashingUpstreams>,
     place: usize,
     id: String,
@@ -103,22 +103,22 @@
         self.places.lock().expect("a lock")
     }
 
-    /// All that was run, in order.
+    /// All requests that reached upstreams, in order.
     pub(crate) fn runs(&self) -> Vec<UpstreamRun> {
         self.runs.lock().expect("a lock").clone()
     }
 
-    /// When upstreams ended by a request.
+    /// The times of all crashes.
     pub(crate) fn ends(&self) -> Vec<Instant> {
         self.ends.lock().expect("a lock").clone()
     }
 
-    /// From now on requests with `turns` in their path end them as well.
-    pub(crate) fn turn(&self) {
+    /// From now on requests with `turns` in their path crash upstreams as well.
+    pub(crate) fn start_crashing_on_turns(&self) {
         self.turned.store(true, Ordering::Relaxed);
     }
 
-    /// Ends all of them at once, as a loss of power would, and starts others.
+    /// Stops all upstreams at once, as a loss of power would, and starts others.
     pub(crate) fn lose_all(self: &Arc<Self>) {
         let count = self.places().len();
         for place in 0..count {
@@ -126,29 +126,29 @@
         }
     }
 
-    /// Ends one of them, and starts another.
+    /// Stops one upstream, and starts another.
     pub(crate) fn lose(self: &Arc<Self>, place: usize) {
         self.end(place);
     }
 
-    /// Has one of them leave: its entry is removed, it ends a little later with what it
-    /// still has, and another starts.
+    /// Has one upstream leave: its entry is removed, it stops a little later with the
+    /// requests that it still has, and another one starts.
     pub(crate) fn leave(self: &Arc<Self>, place: usize) {
         let id = self.places()[place].id.clone();
         self.store.change(Change::UpstreamRemoved(id.into()));
         let all = Arc::clone(self);
-        let ending = async move {
-            Timer::after(LEAVES_AFTER).await;
+        let stopping = async move {
+            Timer::after(LEAVE_DELAY).await;
             all.end(place);
         };
-        self.executor.spawn(ending).detach();
+        self.executor.spawn(stopping).detach();
     }
 
     fn begin(self: &Arc<Self>, place: usize) {
         let name = self.names.fetch_add(1, Ordering::Relaxed);
         let id = format!("e-{name}");
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        let handler = Arc::new(At {
+        let handler = Arc::new(UpstreamHandler {
             all: Arc::clone(self),
             place,
             id: id.clone(),
@@ -173,7 +173,7 @@
         let id = self.places()[place].id.clone();
         let all = Arc::clone(self);
         let back = async move {
-            Timer::after(DOWN).await;
+            Timer::after(DOWNTIME).await;
             all.store.change(Change::UpstreamRemoved(id.into()));
             all.begin(place);
         };
@@ -181,7 +181,7 @@
     }
 }
 
-impl Handler for At {
+impl Handler for UpstreamHandler {
     fn handle(self: Arc<Self>, req: Request<Incoming>) -> HandlerFuture {
         let id = req.headers().get("id").cloned();
         let path = req.uri().path().to_string();
@@ -194,11 +194,11 @@
             let turned = self.all.turned.load(Ordering::Relaxed);
             let bad = path.contains("bad") || (turned && path.contains("turns"));
             if bad {
-                self.end_soon();
+                self.crash_soon();
             }
             let work = match path.contains("long") {
-                true => LONG_WORK,
-                false => WORK,
+                true => LONG_RUN_TIME,
+                false => RUN_TIME,
             };
             let first = stream::once(Ok(Bytes::from_static(b"id: 1\ndata: a\n\n")));
             let rest = stream::once_future(async move {
@@ -218,16 +218,16 @@
     }
 }
 
-impl At {
-    fn end_soon(&self) {
+impl UpstreamHandler {
+    fn crash_soon(&self) {
         let (all, place, id) = (Arc::clone(&self.all), self.place, self.id.clone());
-        let ending = async move {
-            Timer::after(ENDS_AFTER).await;
+        let stopping = async move {
+            Timer::after(CRASH_DELAY).await;
             if all.places()[place].id == id {
                 all.ends.lock().expect("a lock").push(Instant::now());
                 all.end(place);
             }
         };
-        self.all.executor.spawn(ending).detach();
+        self.all.executor.spawn(stopping).detach();
     }
 }
--- a/crates/gateway/tests/whole/fakes/fake_store.rs
+++ b/crates/gateway/tests/whole/fakes/fake_store.rs
@@ -1,4 +1,4 @@
-//! A store in memory that can be made silent.
+//! An in-memory store with injected faults.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -27,42 +27,42 @@
 use jd_types::Incarnation;
 use jd_types::Name;
 
-/// Items in one page.
+/// Items per page.
 const PAGE: usize = 3;
 
-/// What a store holds. Its items name what they say by its place in a list.
+/// The changes of a store. An item refers to its change by the place in this list.
 #[derive(Debug, Default)]
-struct Said {
-    list: Mutex<Vec<Change>>,
-    /// The lists that it held before it was restored, oldest first.
+struct ChangeLog {
+    changes: Mutex<Vec<Change>>,
+    /// The lists from before each restore, oldest first.
     earlier: Mutex<Vec<Vec<Change>>>,
     changed: Event,
 }
 
-impl Said {
-    /// How often it was restored.
+impl ChangeLog {
+    /// Number of restores.
     fn era(&self) -> usize {
         self.earlier.lock().expect("a lock").len()
     }
 
-    /// What an item says, whichever era it is of.
+    /// The change at a place of an era.
     fn at(&self, era: usize, place: usize) -> Option<Change> {
         let earlier = self.earlier.lock().expect("a lock");
         match earlier.get(era) {
-            Some(list) => list.get(place).cloned(),
-            None => self.list.lock().expect("a lock").get(place).cloned(),
+            Some(changes) => changes.get(place).cloned(),
+            None => self.changes.lock().expect("a lock").get(place).cloned(),
         }
     }
 }
 
-/// A store as one instance sees it.
+/// A store as one instance sees it, with faults for this instance alone.
 #[derive(Debug)]
 pub(crate) struct FakeStore {
-    said: Arc<Said>,
-    away: Mutex<bool>,
+    log: Arc<ChangeLog>,
+    unavailable: Mutex<bool>,
     silent: AtomicBool,
     watches: AtomicUsize,
-    seen: AtomicU64,
+    watched_after: AtomicU64,
     refused_pages: AtomicUsize,
     full_reads: AtomicUsize,
     instance_list_reads: AtomicUsize,
@@ -74,26 +74,26 @@
 
 impl FakeStore {
     pub(crate) fn new(records: Vec<Record>) -> FakeStore {
-        let said = Said::default();
-        *said.list.lock().expect("a lock") = records.into_iter().map(Change::Put).collect();
-        FakeStore::of(Arc::new(said))
+        let log = ChangeLog::default();
+        *log.changes.lock().expect("a lock") = records.into_iter().map(Change::Put).collect();
+        FakeStore::of(Arc::new(log))
     }
 
     /// The same store as another instance sees it.
     pub(crate) fn for_another_instance(&self) -> FakeStore {
         FakeStore {
             refuses_quarantine: Arc::clone(&self.refuses_quarantine),
-            ..FakeStore::of(Arc::clone(&self.said))
+            ..FakeStore::of(Arc::clone(&self.log))
         }
     }
 
-    fn of(said: Arc<Said>) -> FakeStore {
+    fn of(log: Arc<ChangeLog>) -> FakeStore {
         FakeStore {
-            said,
-            away: Mutex::new(false),
+            log,
+            unavailable: Mutex::new(false),
             silent: AtomicBool::new(false),
             watches: AtomicUsize::new(0),
-            seen: AtomicU64::new(0),
+            watched_after: AtomicU64::new(0),
             refused_pages: AtomicUsize::new(0),
             full_reads: AtomicUsize::new(0),
             instance_list_reads: AtomicUsize::new(0),
@@ -104,12 +104,13 @@
         }
     }
 
-    /// Makes the store refuse every call, or serve again.
-    pub(crate) fn set_unavailable(&self, away: bool) {
-        *self.away.lock().expect("a lock") = away;
+    /// Makes the store refuse every call, or serve calls again.
+    pub(crate) fn set_unavailable(&self, unavailable: bool) {
+        *self.unavailable.lock().expect("a lock") = unavailable;
     }
 
-    /// Makes the store answer nothing any more, to watches that wait neither.
+    /// Makes the store answer no more revision reads and watches, including watches that
+    /// are already waiting.
     pub(crate) fn stop_answering(&self) {
         self.silent.store(true, Ordering::Relaxed);
     }
@@ -118,72 +119,71 @@
         self.silent.load(Ordering::Relaxed)
     }
 
-    /// Tells all watches of a change.
+    /// Makes a change, which answers all watches.
     pub(crate) fn change(&self, change: Change) {
-        self.said.list.lock().expect("a lock").push(change);
-        self.said.changed.notify(usize::MAX);
+        self.log.changes.lock().expect("a lock").push(change);
+        self.log.changed.notify(usize::MAX);
     }
 
-    /// Restores the store from a copy that holds only the first `kept` changes. What is
-    /// written from now on has revisions that were given out before.
+    /// Restores the store from a copy that holds only the first `kept` changes. Later
+    /// changes get revisions that were assigned before.
     #[allow(dead_code, reason = "used by the tests of restores")]
     pub(crate) fn restore(&self, kept: usize) {
         {
-            let mut list = self.said.list.lock().expect("a lock");
-            let held = list.clone();
-            list.truncate(kept);
-            self.said.earlier.lock().expect("a lock").push(held);
+            let mut changes = self.log.changes.lock().expect("a lock");
+            let held = changes.clone();
+            changes.truncate(kept);
+            self.log.earlier.lock().expect("a lock").push(held);
         }
-        self.said.changed.notify(usize::MAX);
+        self.log.changed.notify(usize::MAX);
     }
 
-    /// How many changes it holds.
+    /// Number of changes.
     pub(crate) fn len(&self) -> usize {
-        self.said.list.lock().expect("a lock").len()
+        self.log.changes.lock().expect("a lock").len()
     }
 
-    /// Who wrote entries of instances, in the order in which they did.
+    /// The instances that wrote their entries, in the order of writing.
     pub(crate) fn announced_instances(&self) -> Vec<Incarnation> {
-        let said = self.said.list.lock().expect("a lock");
-        let written = said.iter().filter_map(|change| match change {
+        let log = self.log.changes.lock().expect("a lock");
+        let written = log.iter().filter_map(|change| match change {
             Change::Put(Record::Instance(entry)) => Some(entry.incarnation),
             _ => None,
         });
         written.collect()
     }
 
-    /// True once a watch waits for what comes after the last change.
+    /// True once a watch waits for changes after the last one.
     pub(crate) fn is_caught_up(&self) -> bool {
-        self.seen.load(Ordering::Relaxed) >= self.now()
+        self.watched_after.load(Ordering::Relaxed) >= self.revision_number()
     }
 
-    /// Watches that wait.
+    /// Number of waiting watches.
     pub(crate) fn watches(&self) -> usize {
         self.watches.load(Ordering::Relaxed)
     }
 
     fn answer<T>(&self, value: T) -> Result<T, StoreError> {
-        match *self.away.lock().expect("a lock") {
+        match *self.unavailable.lock().expect("a lock") {
             true => Err(StoreError::Refused),
             false => Ok(value),
         }
     }
 
-    /// The places of all records but those of upstreams that were removed and of
-    /// zones that were taken back.
+    /// The places of all records, except removed upstreams and ended evacuations.
     fn listed(&self) -> Vec<usize> {
-        let said = self.said.list.lock().expect("a lock");
-        let gone = |id: &str| {
+        let log = self.log.changes.lock().expect("a lock");
+        let is_removed = |id: &str| {
             let is_removal = |c: &Change| matches!(c, Change::UpstreamRemoved(g) if g == id);
-            said.iter().any(is_removal)
+            log.iter().any(is_removal)
         };
-        let taken_back = |zone: &Name| {
+        let evacuation_ended = |zone: &Name| {
             let is_return = |c: &Change| matches!(c, Change::EvacuationEnded(z) if z == zone);
-            said.iter().any(is_return)
+            log.iter().any(is_return)
         };
         let is_listed = |change: &Change| match change {
-            Change::Put(Record::Upstream(entry)) => !gone(&entry.id),
-            Change::Put(Record::EvacuatedZone(zone)) => !taken_back(zone),
+            Change::Put(Record::Upstream(entry)) => !is_removed(&entry.id),
+            Change::Put(Record::EvacuatedZone(zone)) => !evacuation_ended(zone),
             Change::Put(_) => true,
             Change::UpstreamUnreadable { .. }
             | Change::UpstreamRemoved(_)
@@ -191,17 +191,17 @@
             | Change::QuarantineRemoved(_)
             | Change::EvacuationEnded(_) => false,
         };
-        let numbered = said.iter().enumerate();
+        let numbered = log.iter().enumerate();
         let listed = numbered.filter(|(_, change)| is_listed(change));
         listed.map(|(place, _)| place).collect()
     }
 
-    fn is_of(&self, filter: RecordFilter, place: usize) -> bool {
-        let said = self.said.list.lock().expect("a lock");
+    fn matches_filter(&self, filter: RecordFilter, place: usize) -> bool {
+        let log = self.log.changes.lock().expect("a lock");
         match filter {
             RecordFilter::All => true,
-            RecordFilter::Instances => matches!(said[place], Change::Put(Record::Instance(_))),
-            RecordFilter::Sample(bits) => match &said[place] {
+            RecordFilter::Instances => matches!(log[place], Change::Put(Record::Instance(_))),
+            RecordFilter::Sample(bits) => match &log[place] {
                 Change::Put(Record::Instance(entry)) => {
                     entry.incarnation.get() >> 60 == u64::from(bits)
                 }
@@ -210,65 +210,65 @@
         }
     }
 
-    /// Refuses the next page that is not a first one, so many times.
+    /// Refuses the next `count` pages other than first ones.
     pub(crate) fn refuse_next_pages(&self, count: usize) {
         self.refused_pages.store(count, Ordering::Relaxed);
     }
 
-    /// Refuses to write the next entry of an instance, so many times.
+    /// Refuses the next `count` writes of an instance entry.
     pub(crate) fn refuse_announcements(&self, count: usize) {
         self.refused_announcements.store(count, Ordering::Relaxed);
     }
 
-    /// True once it holds something against a request.
+    /// True once it holds a quarantine record.
     pub(crate) fn holds_quarantine(&self) -> bool {
-        let said = self.said.list.lock().expect("a lock");
-        said.iter()
+        let log = self.log.changes.lock().expect("a lock");
+        log.iter()
             .any(|change| matches!(change, Change::Put(Record::Quarantine(_))))
     }
 
-    /// Refuses to write what is held against requests, whoever asks.
+    /// Refuses quarantine writes of all instances.
     pub(crate) fn refuse_quarantine(&self) {
         self.refuses_quarantine.store(true, Ordering::Relaxed);
     }
 
-    /// How often everything was read from the beginning.
+    /// Number of reads of all records from the beginning.
     pub(crate) fn full_reads(&self) -> usize {
         self.full_reads.load(Ordering::Relaxed)
     }
 
-    /// How often the instances were read from the beginning.
+    /// Number of reads of the instance list from the beginning.
     pub(crate) fn instance_list_reads(&self) -> usize {
         self.instance_list_reads.load(Ordering::Relaxed)
     }
 
-    /// How often a sample of them was read.
+    /// Number of reads of a sample of the instances.
     pub(crate) fn sample_reads(&self) -> usize {
         self.sample_reads.load(Ordering::Relaxed)
     }
 
-    /// How often its revision was asked for.
+    /// Number of reads of the revision.
     pub(crate) fn revision_reads(&self) -> usize {
         self.revision_reads.load(Ordering::Relaxed)
     }
 
     fn refuses_next_page(&self) -> bool {
-        take_one(&self.refused_pages)
+        take_fault(&self.refused_pages)
     }
 
-    fn now(&self) -> u64 {
-        self.said.list.lock().expect("a lock").len() as u64
+    fn revision_number(&self) -> u64 {
+        self.log.changes.lock().expect("a lock").len() as u64
     }
 }
 
-/// Takes one off; false if there was none left.
-fn take_one(count: &AtomicUsize) -> bool {
+/// Decrements a counter; false if it was 0.
+fn take_fault(count: &AtomicUsize) -> bool {
     let one_less = |n: usize| n.checked_sub(1);
     let taken = count.fetch_update(Ordering::Relaxed, Ordering::Relaxed, one_less);
     taken.is_ok()
 }
 
-/// The item that says what stands at `place`.
+/// The item of the change at `place`.
 fn item(era: usize, place: usize) -> StoreItem {
     StoreItem {
         key: format_compact!("{era}/{place}"),
@@ -285,23 +285,23 @@
     }
 }
 
-/// The era and the place that a key names.
+/// Parses a key into an era and a place.
 fn place_of(key: &str) -> Option<(usize, usize)> {
     let (era, place) = key.split_once('/')?;
     Some((era.parse().ok()?, place.parse().ok()?))
 }
 
-/// Counts a watch while it waits.
-struct Waiting<'a>(&'a AtomicUsize);
+/// Counts a watch while it is waiting.
+struct WatchGuard<'a>(&'a AtomicUsize);
 
-impl Waiting<'_> {
-    fn new(count: &AtomicUsize) -> Waiting<'_> {
+impl WatchGuard<'_> {
+    fn new(count: &AtomicUsize) -> WatchGuard<'_> {
         count.fetch_add(1, Ordering::Relaxed);
-        Waiting(count)
+        WatchGuard(count)
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for WatchGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
@@ -318,9 +318,9 @@
             counter.fetch_add(1, Ordering::Relaxed);
         }
         let from = place_of(after).map_or(0, |(_, place)| place + 1);
-        let era = self.said.era();
+        let era = self.log.era();
         let revision = at(era, self.len());
-        let wanted = |place: &usize| *place >= from && self.is_of(filter, *place);
+        let wanted = |place: &usize| *place >= from && self.matches_filter(filter, *place);
         let listed = self.listed().into_iter().filter(wanted);
         let mut items: Vec<StoreItem> = listed.map(|place| item(era, place)).collect();
         let more = items.len() > PAGE;
@@ -340,14 +340,14 @@
 
     fn watch(&self, after: StoreRevision, _wait: Duration) -> StoreFuture<'_, ItemBatch> {
         Box::pin(async move {
-            let _waiting = Waiting::new(&self.watches);
+            let _waiting = WatchGuard::new(&self.watches);
             let after = after.revision;
-            self.seen.store(after, Ordering::Relaxed);
-            let era = self.said.era();
+            self.watched_after.store(after, Ordering::Relaxed);
+            let era = self.log.era();
             loop {
-                let changed = self.said.changed.listen();
-                let revision = self.now();
-                if self.said.era() != era {
+                let changed = self.log.changed.listen();
+                let revision = self.revision_number();
+                if self.log.era() != era {
                     return Err(StoreError::NoAnswer);
                 }
                 if revision < after {
@@ -366,7 +366,7 @@
 
     fn decode(&self, item: &StoreItem) -> Option<Change> {
         let (era, place) = place_of(&item.key).expect("a place");
-        self.said.at(era, place)
+        self.log.at(era, place)
     }
 
     fn revision(&self) -> StoreFuture<'_, StoreRevision> {
@@ -374,7 +374,7 @@
         Box::pin(async move {
             match self.is_silent() {
                 true => std::future::pending().await,
-                false => self.answer(at(self.said.era(), self.len())),
+                false => self.answer(at(self.log.era(), self.len())),
             }
         })
     }
@@ -393,7 +393,7 @@
         _lease: LeaseId,
         _earlier: &'a [Incarnation],
     ) -> StoreFuture<'a, ()> {
-        let refused = take_one(&self.refused_announcements);
+        let refused = take_fault(&self.refused_announcements);
         Box::pin(async move {
             if refused {
                 return Err(StoreError::Refused);
--- a/crates/gateway/tests/whole/fakes/upstream_notices.rs
+++ b/crates/gateway/tests/whole/fakes/upstream_notices.rs
@@ -1,4 +1,4 @@
-//! A gateway before upstreams that give notices in their answers.
+//! A gateway with upstreams that send notices in their answers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,15 +9,16 @@
 use crate::fakes::Received;
 use crate::fakes::Reply;
 
-/// From one request to the next.
+/// Pause between requests.
 pub(crate) const PAUSE: Duration = Duration::from_millis(25);
-/// How long what was on its way when a notice came may arrive after it: a quarter of
-/// the users' shortest bound.
+/// How long requests that were in flight when a notice arrived may still reach the
+/// upstream: a quarter of the users' shortest bound.
 pub(crate) const IN_FLIGHT_GRACE: Duration = Duration::from_millis(500);
-/// How long requests come after that.
+/// How long requests are sent after that.
 pub(crate) const LOAD: Duration = Duration::from_millis(1_500);
 
-/// A gateway before so many upstreams, and two of the stage before `/staged/` after them.
+/// A gateway with this many upstreams, followed by two upstreams of the stage of
+/// `/staged/`.
 pub(crate) fn gateway(upstreams: usize) -> Arc<Harness> {
     let stream = Reply::Stream {
         parts: &["id: 1\ndata: a\n\n"],
@@ -30,7 +31,7 @@
     ))
 }
 
-/// How often an upstream was asked for anything in a span.
+/// Number of requests of any kind that reached an upstream in a span.
 pub(crate) fn arrivals(upstream: &FakeUpstream, from: Instant, to: Instant) -> usize {
     let all = upstream.arrivals();
     all.iter().filter(|at| **at >= from && **at < to).count()
@@ -38,5 +39,8 @@
 
 pub(crate) fn assert_all_served(received: &[Received]) {
     let failed: Vec<&Received> = received.iter().filter(|r| r.status != 200).collect();
-    assert!(failed.is_empty(), "the others take the rest: {failed:?}");
+    assert!(
+        failed.is_empty(),
+        "requests were not served by the other upstreams: {failed:?}"
+    );
 }
--- a/crates/gateway/tests/whole/false_quarantines.rs
+++ b/crates/gateway/tests/whole/false_quarantines.rs
@@ -1,4 +1,5 @@
-//! Requests that were at upstreams which ended by something else, and are let in.
+//! Requests that ran at upstreams which crashed for another reason, and must not be
+//! quarantined.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,13 +17,13 @@
 use crate::fakes::crash_fleet::until_quarantined;
 use crate::fakes::crash_fleet::until_quarantined_everywhere;
 
-/// After that long what speaks against a request would have been found.
-const FOUND_LATER: Duration = Duration::from_millis(2_000);
+/// After this time a request that crashes upstreams would have been quarantined.
+const DECIDED_WITHIN: Duration = Duration::from_millis(2_000);
 
-/// A hot request, the same each time, is at most upstreams when another one ends them. It
-/// was broken off with every one of them, and is refused nowhere.
+/// A hot request, the same each time, runs at most upstreams when another request crashes
+/// them. It is broken off at all of them, and no instance refuses it.
 #[test]
-fn a_hot_request_beside_one_that_ends_upstreams_is_not_turned_away() {
+fn a_hot_request_beside_one_that_crashes_upstreams_is_not_quarantined() {
     let (harness, upstreams) = fleet(6);
     let harness = Arc::new(harness);
     block_on(async {
@@ -37,9 +38,9 @@
     assert!(upstreams.ends().len() >= 3);
 }
 
-/// All upstreams are lost at once, four times, under a hot request. Nothing ended by it.
+/// All upstreams are lost at once, four times, under a hot request that did not cause it.
 #[test]
-fn a_hot_request_under_losses_of_power_is_not_turned_away() {
+fn a_hot_request_under_losses_of_power_is_not_quarantined() {
     let (harness, upstreams) = fleet(6);
     let harness = Arc::new(harness);
     block_on(async {
@@ -55,10 +56,10 @@
     });
 }
 
-/// Upstreams are killed and started again in turn, all of them in four seconds, under a
-/// request that is always at some of them.
+/// Upstreams are killed and restarted in turn, all of them in four seconds, while some of
+/// them always run the same request.
 #[test]
-fn a_hot_request_under_restarts_is_not_turned_away() {
+fn a_hot_request_under_restarts_is_not_quarantined() {
     let (harness, upstreams) = fleet(6);
     let harness = Arc::new(harness);
     block_on(async {
@@ -74,10 +75,11 @@
     });
 }
 
-/// The only upstream leaves, again and again, and each time cuts the same request, which
-/// takes longer than it stays. It never ran well; it ended nothing.
+/// The only upstream leaves, again and again, and each time cuts off the same request,
+/// which takes longer than the upstream drains. The request never completes, but it
+/// crashes nothing.
 #[test]
-fn a_request_that_drains_cut_short_is_not_turned_away() {
+fn a_request_cut_off_by_leaving_upstreams_is_not_quarantined() {
     let (harness, upstreams) = fleet(1);
     let harness = Arc::new(harness);
     block_on(async {
@@ -90,7 +92,7 @@
                 caller.ask_instance(n, "/stream/long", &id).await
             });
             while runs_of(&upstreams, "long") == asked {
-                assert!(!cut.is_finished(), "it was turned away");
+                assert!(!cut.is_finished(), "it was refused");
                 Timer::after(Duration::from_millis(5)).await;
             }
             upstreams.leave(0);
@@ -98,16 +100,16 @@
             Timer::after(Duration::from_millis(700)).await;
             harness.until_all_answer("/any/x", 200).await;
         }
-        Timer::after(FOUND_LATER).await;
+        Timer::after(DECIDED_WITHIN).await;
         let received = harness.ask_instance(0, "/stream/long", "last").await;
         assert!(received.whole, "{received:?}");
     });
 }
 
-/// Answers to a request break off each time, at upstreams that live on. That a connection
-/// breaks says nothing of its upstream.
+/// Answers to a request break off each time, at upstreams that keep running. A broken
+/// connection does not mean that its upstream crashed.
 #[test]
-fn a_request_whose_answers_break_off_is_not_turned_away() {
+fn a_request_whose_answers_break_off_is_not_quarantined() {
     let torn = Reply::Stream {
         parts: &["id: 1\ndata: a\n\n"],
         cut: true,
@@ -120,17 +122,17 @@
             assert!(!received.whole);
             Timer::after(Duration::from_millis(100)).await;
         }
-        Timer::after(FOUND_LATER).await;
+        Timer::after(DECIDED_WITHIN).await;
         let received = harness.ask("/stream/x", "last").await;
         assert!(!is_quarantined(&received), "{received:?}");
     });
 }
 
-/// An instance is cut off from the store, and so perhaps from all others and from upstreams
-/// that it takes for ended. What it finds by itself holds for all, so it coordinators nobody
-/// until it has proof again.
+/// An instance is cut off from the store, and so perhaps also from all other instances
+/// and from upstreams that it takes for crashed. Its decisions would apply to all
+/// instances, so it quarantines no request until it has recent proof again.
 #[test]
-fn an_instance_without_proof_quarantines_nobody() {
+fn an_instance_without_proof_quarantines_no_request() {
     let harness = Harness::start(Vec::new());
     let upstreams = CrashingUpstreams::start(harness.executor(), &harness.store, 6);
     block_on(async {
@@ -144,7 +146,7 @@
             harness.ask("/open/bad", "bad").await;
             Timer::after(Duration::from_millis(100)).await;
         }
-        Timer::after(FOUND_LATER).await;
+        Timer::after(DECIDED_WITHIN).await;
         assert!(!is_quarantined(&harness.ask("/open/bad", "bad").await));
         harness.store.set_unavailable(false);
         let harness = Arc::new(harness);
--- a/crates/gateway/tests/whole/fleet.rs
+++ b/crates/gateway/tests/whole/fleet.rs
@@ -1,4 +1,4 @@
-//! Many gateways at one store.
+//! Many gateways that share one store.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,9 +16,9 @@
 use crate::fakes::Reply;
 use crate::fakes::deployment;
 
-/// Twenty instances that each watch the store are answered twenty times at each
-/// change; at seventy-five the store's rate and its price ran out. Two watch and
-/// tell the others, and a route that is added reaches all of them all the same.
+/// With a watch of each of twenty instances, the store answers each change twenty times;
+/// at seventy-five, its rate limit and its cost were exceeded. Two instances watch and
+/// pass changes on, and an added route must still reach all instances.
 #[test]
 fn a_change_reaches_instances_that_do_not_watch_the_store() {
     let mut harness = Harness::start(vec![vec![Reply::Whole("yours")]]);
@@ -33,12 +33,11 @@
     });
 }
 
-/// The store turns away just the instances that the others follow, and an
-/// upstream leaves. The others took the word of those for the store's absence and
-/// the upstream's entry for one that had lapsed: it got requests for eight
-/// seconds after it had left.
+/// The store refuses just the instances that the others follow, and an upstream leaves.
+/// The others took the refusal for an outage of the store and the removed entry for one
+/// that had lapsed: the upstream got requests for eight seconds after it had left.
 #[test]
-fn a_change_arrives_though_those_that_watch_are_turned_away() {
+fn a_change_arrives_though_the_store_refuses_the_readers() {
     let mut harness = Harness::start(vec![vec![Reply::Whole("a")], vec![Reply::Whole("b")]]);
     harness.add_gateways(19);
     block_on(async {
@@ -58,11 +57,11 @@
     });
 }
 
-/// Three hundred instances start at once and ask for more than the store allows in
-/// a second. Each began anew after a refused page, so that after a loss of all of
-/// them the last served callers after eight seconds.
+/// Three hundred instances start at once and request more than the store allows in a
+/// second. Each began again from the first page after a refused one, so that after a loss
+/// of all of them the last instance served callers only after eight seconds.
 #[test]
-fn a_refused_page_is_asked_for_again_and_not_all_of_them() {
+fn a_refused_page_alone_is_read_again() {
     let mut harness = Harness::start(vec![vec![Reply::Whole("a")]; 5]);
     let store = harness.add_gateway(2, false);
     block_on(async {
@@ -71,11 +70,11 @@
     });
 }
 
-/// The same fleet starts while the store is beyond its rate. Instances that had
-/// read nothing asked for proof of that four times a second, which took the rate
-/// from those that read.
+/// The same fleet starts while the store's rate limit is exceeded. Instances that had
+/// loaded nothing polled the revision four times a second, which took the rate from those
+/// that read.
 #[test]
-fn an_instance_that_has_read_nothing_asks_for_no_proof() {
+fn an_instance_that_has_loaded_nothing_polls_no_revision() {
     let mut harness = Harness::start(vec![vec![Reply::Whole("a")]]);
     let store = harness.add_gateway(0, true);
     block_on(async {
@@ -88,10 +87,10 @@
     });
 }
 
-/// Half of a fleet is cut off from the store, the instances that read it for the others among
-/// them. Each that was asked for news told that it has lost the store only after a wait of
-/// a second and a half, one after the other, and a version was in force nowhere in a zone
-/// five seconds after it was acknowledged.
+/// Half of a fleet is cut off from the store, among them the instances that read it for
+/// the others. Each source said that it had lost the store only after a wait of a second
+/// and a half, one after the other, and five seconds after a version was acknowledged it
+/// was in force nowhere in one zone.
 #[test]
 fn an_instance_that_has_lost_the_store_says_so_at_once() {
     let mut harness = Harness::start(vec![vec![Reply::Whole("yours")]]);
@@ -103,7 +102,7 @@
         let asked = FollowRequest {
             after: 1_000,
             wait_ms: 1_500,
-            // Nothing that the other one has is news.
+            // Ahead of everything that the other instance has.
             proof: Some(Proof {
                 revision: 1_000,
                 ms_ago: 0,
@@ -114,7 +113,8 @@
         let began = Instant::now();
         assert!(harness.follow(asked).await.store_away);
         assert!(began.elapsed() < Duration::from_millis(700));
-        // Who knows it already would ask again and again.
+        // An immediate answer would make a requester that already knows of the outage
+        // retry without a pause.
         let began = Instant::now();
         let asked = FollowRequest {
             knows_away: true,
@@ -125,16 +125,17 @@
     });
 }
 
-/// The store turns one instance of a small fleet away, each of which reads the store itself, and a
-/// route is added. That instance answered 404 there for as long as it was turned away.
+/// The store refuses one instance of a small fleet, in which each instance reads the
+/// store itself, and a route is added. That instance answered 404 on the route for as
+/// long as the store refused it.
 #[test]
-fn an_instance_that_is_turned_away_takes_a_later_version_from_the_others() {
+fn an_instance_that_the_store_refuses_gets_a_later_version_from_the_others() {
     let mut harness = Harness::start(vec![vec![Reply::Whole("yours")]]);
     harness.add_gateways(4);
-    let turned_away = harness.add_gateway(0, false);
+    let refused = harness.add_gateway(0, false);
     block_on(async {
         harness.until_all_answer("/any/x", 200).await;
-        turned_away.set_unavailable(true);
+        refused.set_unavailable(true);
         let mut next = deployment();
         next.version = 2;
         next.routes[0].prefix = "/added/".into();
@@ -149,7 +150,7 @@
     });
 }
 
-/// A configuration with another route in the place of the first.
+/// A configuration in which another route replaces the first.
 fn second_version() -> Change {
     let mut next = deployment();
     next.version = 2;
@@ -157,8 +158,9 @@
     Change::Put(Record::Deployment(Box::new(next)))
 }
 
-/// An instance stands still for some seconds, and another removes its entry. Awake
-/// again it was named to nobody for the rest of the day: nothing told it.
+/// An instance is stopped for some seconds, and another one removes its entry. When it
+/// ran again, callers were not given its address for the rest of the day, because nothing
+/// told it of the removal.
 #[test]
 fn an_instance_whose_entry_was_removed_writes_it_again() {
     let harness = Harness::start(vec![vec![Reply::Whole("a")]]);
@@ -170,10 +172,10 @@
     });
 }
 
-/// The same while the store refuses writes for a moment. The entry was written again
-/// once, in vain, and from then on only its lease was renewed.
+/// The same while the store refuses writes for a moment. The instance tried to write its
+/// entry once, failed, and from then on only renewed the lease.
 #[test]
-fn an_entry_that_could_not_be_written_again_is_tried_until_it_is() {
+fn writing_a_removed_entry_is_retried_until_it_succeeds() {
     let harness = Harness::start(vec![vec![Reply::Whole("a")]]);
     block_on(async {
         harness.until_ready(true).await;
@@ -184,12 +186,12 @@
     });
 }
 
-/// Instances of a fleet start. Each start read all that the store holds, which at 300
-/// that start at once took 2.7 s of the store's link; now one that relays tells it, and
-/// the store is asked only who is there. Those that come to relay themselves, two at
-/// most, read it whole.
+/// Instances join a running fleet. Each start read all records of the store, which took
+/// 2.7 s of the store's link when 300 instances started at once. Now they read only the
+/// list of instances from the store, and the rest from a relay. Those that become relays
+/// themselves, two at most, read all records.
 #[test]
-fn a_start_among_many_reads_nothing_but_who_is_there() {
+fn a_start_in_a_fleet_reads_only_the_list_of_instances() {
     let mut harness = Harness::start(vec![vec![Reply::Whole("a")]]);
     harness.add_gateways(19);
     block_on(async {
@@ -209,11 +211,11 @@
     });
 }
 
-/// The store falls silent to the two that read it, and others take their place. Their
-/// own watches went on waiting for half a minute: they knew of no change for as long,
+/// The store stops answering the two instances that read it, and others take over. The
+/// watches of the first two hung for half a minute: for that time they got no changes,
 /// and ran requests that only an older configuration allows.
 #[test]
-fn those_that_read_hear_from_others_once_their_watch_hangs() {
+fn readers_follow_others_once_their_watch_hangs() {
     let mut harness = Harness::start(vec![vec![Reply::Whole("a")]]);
     harness.add_gateways(19);
     block_on(async {
--- a/crates/gateway/tests/whole/limits.rs
+++ b/crates/gateway/tests/whole/limits.rs
@@ -1,20 +1,11 @@
-//! Upstreams that name a limit of what they take, through a whole fleet.
+//! Rate limits of upstreams, tested on a whole fleet.
 //!
-//! Two upstreams of nine named a limit of one request a second in their answers and got 12
-//! and 13 in four seconds. Nothing read the limit, and had each instance kept to it by itself
-//! nothing would have changed: of the nine instances six sent to one of them, none more than
-//! three in four seconds. The lines that settled it, all of them answers of that upstream:
-//!
-//!     9.342 edge-hall-b-3 answer began
-//!     9.616 edge-hall-b-3 answer began
-//!     9.662 edge-hall-c-2 answer began
-//!    10.833 edge-hall-c-2 answer began
-//!    10.915 edge-hall-a-2 answer began
-//!    10.989 edge-hall-b-2 answer began
-//!    11.041 edge-hall-b-1 answer began
-//!    11.274 edge-hall-a-1 answer began
-//!
-//! So one instance counts for all, and gives out permits to the others.
+//! Guards against upstreams that get more than the limit which their answers state: two of
+//! nine upstreams stated one request a second and got 12 and 13 in four seconds. A limit
+//! that each instance keeps by itself would not help: six of the nine instances sent to one
+//! of these upstreams, none more than three requests in four seconds, with answers that
+//! began at 9.342, 9.616, 9.662, 10.833, 10.915, 10.989, 11.041 and 11.274 s. So one
+//! instance counts the requests for all, and gives out permits to the others.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -32,16 +23,16 @@
 
 /// Instances of the fleet.
 const INSTANCES: usize = 9;
-/// From one request to the next: forty a second, from all callers together.
+/// Pause between requests: forty a second, from all callers together.
 const PAUSE: Duration = Duration::from_millis(25);
-/// How long the fleet has to hear of a limit.
-const HEARD_WITHIN: Duration = Duration::from_millis(1_500);
-/// How long requests come after that.
+/// How long a limit may take to reach all instances.
+const SPREAD_WITHIN: Duration = Duration::from_millis(1_500);
+/// How long requests are sent after that.
 const LOAD: Duration = Duration::from_secs(8);
 /// The span over which arrivals are counted.
-const SPAN: Duration = Duration::from_secs(4);
+const COUNTED_SPAN: Duration = Duration::from_secs(4);
 
-/// A fleet before so many upstreams, and one of the stage before `/staged/`.
+/// A fleet with this many upstreams, and one upstream of the stage of `/staged/`.
 fn fleet(upstreams: usize) -> Arc<Harness> {
     let stream = Reply::Stream {
         parts: &["id: 1\ndata: a\n\n"],
@@ -53,72 +44,75 @@
     Arc::new(harness)
 }
 
-/// The most arrivals in any four seconds from `since` on.
-fn most_arrivals(upstream: &FakeUpstream, since: Instant) -> usize {
+/// The highest number of arrivals in any four seconds from `since` on.
+fn max_arrivals(upstream: &FakeUpstream, since: Instant) -> usize {
     let arrivals = upstream.arrivals();
     let counted: Vec<Instant> = arrivals.into_iter().filter(|at| *at >= since).collect();
     let ends = counted.iter().enumerate();
     let within = ends.map(|(n, end)| {
         let span = counted[..=n].iter();
-        span.filter(|at| end.duration_since(**at) < SPAN).count()
+        span.filter(|at| end.duration_since(**at) < COUNTED_SPAN)
+            .count()
     });
     within.max().unwrap_or(0)
 }
 
-/// What may arrive in four seconds under a limit of so many a second: half as much
-/// again, and five.
+/// Number of requests that may arrive in four seconds under a limit of `per_s`: half as
+/// much again, and five.
 fn allowed(per_s: f64) -> usize {
-    (per_s * SPAN.as_secs_f64() * 1.5 + 5.0) as usize
+    (per_s * COUNTED_SPAN.as_secs_f64() * 1.5 + 5.0) as usize
 }
 
-/// Loads the fleet until it has heard of a limit, and then for as long as counted; what
-/// callers received, and from when on arrivals count.
+/// Sends requests until the limit has reached all instances, and then for `LOAD`; returns
+/// the answers of this second span and its beginning.
 async fn load(harness: &Arc<Harness>, path: &'static str) -> (Vec<Received>, Instant) {
     harness.until_ready(true).await;
     harness.until_all_answer("/open/x", 200).await;
-    send_repeatedly(harness, path, PAUSE, HEARD_WITHIN).await;
+    send_repeatedly(harness, path, PAUSE, SPREAD_WITHIN).await;
     let counted = Instant::now();
     (send_repeatedly(harness, path, PAUSE, LOAD).await, counted)
 }
 
-/// One of several upstreams names a limit, and each instance of the fleet went on as
-/// before: none of them sent more than the limit by itself, and together they sent three
-/// times as much.
+/// One of several upstreams states a limit. No instance alone exceeded it, but together
+/// they sent three times as much.
 #[test_case("/any/x"; "plain")]
 #[test_case("/stream/x"; "streamed")]
 #[test_case("/staged/x"; "after stages")]
-fn a_fleet_sends_a_limited_upstream_no_more_than_it_takes(path: &'static str) {
+fn a_fleet_keeps_the_limit_of_an_upstream(path: &'static str) {
     let harness = fleet(3);
     harness.upstreams[0].name_limit(Some("1"));
     let (received, counted) = block_on(load(&harness, path));
-    let most = most_arrivals(&harness.upstreams[0], counted);
+    let most = max_arrivals(&harness.upstreams[0], counted);
     assert!(most <= allowed(1.0), "{most} in four seconds");
     let failed: Vec<&Received> = received.iter().filter(|r| r.status != 200).collect();
-    assert!(failed.is_empty(), "the others take the rest: {failed:?}");
+    assert!(
+        failed.is_empty(),
+        "requests beyond the limit were not served by the others: {failed:?}"
+    );
 }
 
-/// The upstream of a stage names a limit. Calls for pieces count, and so does whatever
-/// else an owner of stages asks of it.
+/// The upstream of a stage states a limit. Calls for pieces count against it, and so do
+/// all other calls that an owner of stages makes to it.
 #[test]
-fn a_fleet_asks_a_limited_upstream_for_no_more_pieces_than_it_takes() {
+fn a_fleet_keeps_the_limit_of_a_stage_upstream() {
     let harness = fleet(3);
     harness.upstreams[3].name_limit(Some("1"));
     let (_, counted) = block_on(load(&harness, "/staged/x"));
-    let most = most_arrivals(&harness.upstreams[3], counted);
+    let most = max_arrivals(&harness.upstreams[3], counted);
     assert!(most <= allowed(1.0), "{most} in four seconds");
 }
 
-/// All upstreams of a service name a limit. What they take is used, and all else is
-/// refused at once and truthfully.
+/// All upstreams of a service state a limit. Their capacity is used, and all other
+/// requests are refused at once, as not run.
 #[test]
-fn a_fleet_uses_what_limited_upstreams_take_and_refuses_the_rest() {
+fn a_fleet_uses_the_capacity_of_limited_upstreams_and_refuses_the_rest() {
     let harness = fleet(2);
     for upstream in &harness.upstreams[..2] {
         upstream.name_limit(Some("2"));
     }
     let (received, counted) = block_on(load(&harness, "/once/x"));
     for upstream in &harness.upstreams[..2] {
-        let most = most_arrivals(upstream, counted);
+        let most = max_arrivals(upstream, counted);
         assert!(most <= allowed(2.0), "{most} in four seconds");
     }
     let served = received.iter().filter(|r| r.status == 200).count();
@@ -131,15 +125,15 @@
     }
 }
 
-/// A limit ends. Instances whose part was nothing get no answers of that upstream, and
-/// have to hear of the end from others.
+/// A limit ends. Instances that got no permits get no answers of that upstream, and have
+/// to learn of the end from other instances.
 #[test]
-fn a_fleet_hears_that_a_limit_has_ended() {
+fn the_end_of_a_limit_reaches_the_fleet() {
     let harness = fleet(2);
     harness.upstreams[0].name_limit(Some("0.2"));
     block_on(async {
         let (_, counted) = load(&harness, "/any/x").await;
-        let most = most_arrivals(&harness.upstreams[0], counted);
+        let most = max_arrivals(&harness.upstreams[0], counted);
         assert!(most <= allowed(0.2), "{most} in four seconds");
         harness.upstreams[0].name_limit(None);
         let until = Instant::now() + Duration::from_secs(30);
@@ -149,56 +143,63 @@
             if harness.upstreams[0].count() - before >= 10 {
                 break;
             }
-            assert!(Instant::now() < until, "nobody heard of the end");
+            assert!(
+                Instant::now() < until,
+                "the end of the limit did not arrive"
+            );
             Timer::after(PAUSE).await;
         }
     });
 }
 
-/// Most of the fleet ends at once, those that gave out permits among them. Those that are
-/// left find others for it, and keep to the limit.
+/// Most of the fleet is lost at once, including the instances that gave out permits.
+/// Among the rest others take over, and the limit is kept.
 #[test]
-fn a_limit_is_kept_when_those_that_give_out_permits_are_lost() {
+fn a_limit_is_kept_when_the_instances_that_give_out_permits_are_lost() {
     let mut harness = fleet(2);
     harness.upstreams[0].name_limit(Some("1"));
     block_on(async {
         load(&harness, "/any/x").await;
         let lost = INSTANCES - 3;
-        let owned = Arc::get_mut(&mut harness).expect("nobody else asks");
+        let owned = Arc::get_mut(&mut harness).expect("no request in flight");
         owned.end_gateways(lost);
         let counted = Instant::now();
         let received = send_repeatedly(&harness, "/any/x", PAUSE, LOAD).await;
-        let most = most_arrivals(&harness.upstreams[0], counted);
+        let most = max_arrivals(&harness.upstreams[0], counted);
         assert!(most <= allowed(1.0), "{most} in four seconds");
         let served = received.iter().filter(|r| r.status == 200).count();
-        assert_eq!(served, received.len(), "the other takes the rest");
-        let late = Instant::now() - SPAN;
+        assert_eq!(
+            served,
+            received.len(),
+            "requests beyond the limit were not served by the other"
+        );
+        let late = Instant::now() - COUNTED_SPAN;
         let used = harness.upstreams[0].arrivals();
         let used = used.iter().filter(|at| **at >= late).count();
         assert!(used >= 2, "{used} in the last four seconds");
     });
 }
 
-/// All instances start anew at once and know nothing. They hear of the limit again, and
-/// keep to it.
+/// All instances restart at once without any state. They learn the limit again, and keep
+/// it.
 #[test]
-fn a_limit_is_heard_again_after_all_instances_have_started_anew() {
+fn a_limit_is_learned_again_after_a_restart_of_all_instances() {
     let mut harness = fleet(2);
     harness.upstreams[0].name_limit(Some("1"));
     block_on(async {
         load(&harness, "/any/x").await;
-        let owned = Arc::get_mut(&mut harness).expect("nobody else asks");
+        let owned = Arc::get_mut(&mut harness).expect("no request in flight");
         owned.restart_gateways();
         let (_, counted) = load(&harness, "/any/x").await;
-        let most = most_arrivals(&harness.upstreams[0], counted);
+        let most = max_arrivals(&harness.upstreams[0], counted);
         assert!(most <= allowed(1.0), "{most} in four seconds");
     });
 }
 
-/// Streams break off and go on elsewhere, and requests are sent once more. These sends
-/// count as any others.
+/// Streams break off and resume elsewhere, and requests are retried. These sends count
+/// against a limit as any others.
 #[test]
-fn what_is_sent_once_more_keeps_to_a_limit() {
+fn retries_keep_a_limit() {
     let cut = Reply::Stream {
         parts: &["id: 1\ndata: a\n\n"],
         cut: true,
@@ -212,15 +213,15 @@
     let harness = Arc::new(harness);
     harness.upstreams[1].name_limit(Some("1"));
     let (_, counted) = block_on(load(&harness, "/resume/x"));
-    let most = most_arrivals(&harness.upstreams[1], counted);
+    let most = max_arrivals(&harness.upstreams[1], counted);
     assert!(most <= allowed(1.0), "{most} in four seconds");
 }
 
-/// What cannot be read is no limit, and costs nothing.
+/// A limit that cannot be parsed is ignored.
 #[test_case("NaN"; "not a number")]
 #[test_case("-1"; "negative")]
 #[test_case(""; "empty")]
-fn an_upstream_whose_limit_cannot_be_read_is_used_as_before(limit: &'static str) {
+fn a_limit_that_cannot_be_parsed_is_ignored(limit: &'static str) {
     let harness = fleet(1);
     harness.upstreams[0].name_limit(Some(limit));
     block_on(async {
@@ -233,17 +234,17 @@
     assert!(harness.upstreams[0].count() >= 20);
 }
 
-/// One instance is told of a limit. Each of the others would have sent a request of its own
-/// before it was told as well; now they hear of it from that one.
+/// One instance reads a limit from an answer. The others learn of it from that instance;
+/// otherwise each of them would send a request before it knew the limit.
 #[test]
-fn instances_hear_of_a_limit_from_each_other() {
+fn instances_learn_of_a_limit_from_each_other() {
     let harness = fleet(1);
     harness.upstreams[0].name_limit(Some("0.2"));
     block_on(async {
         harness.until_ready(true).await;
-        // Any instance may still have to read the configuration.
+        // Each instance may still be reading the configuration.
         while harness.ask_instance(0, "/once/x", "first").await.status != 200 {}
-        Timer::after(HEARD_WITHIN).await;
+        Timer::after(SPREAD_WITHIN).await;
         let mut served = 0;
         for n in 1..INSTANCES {
             let received = harness.ask_instance(n, "/once/x", &n.to_string()).await;
@@ -253,10 +254,10 @@
     });
 }
 
-/// The only upstream takes one request each five seconds. Stages of all others would be done
-/// for nothing.
+/// The only upstream takes one request each five seconds. Stages of all other requests
+/// would be wasted.
 #[test]
-fn stages_are_not_done_for_what_no_upstream_takes() {
+fn stages_do_not_run_for_requests_that_no_upstream_takes() {
     let harness = fleet(1);
     harness.upstreams[0].name_limit(Some("0.2"));
     let (received, counted) = block_on(load(&harness, "/staged/x"));
@@ -278,10 +279,10 @@
     );
 }
 
-/// Guards against instances that ask for a permit with each request, which they were told
-/// that there is none for.
+/// Guards against instances that request a permit for each request while they know that
+/// none is available.
 #[test]
-fn those_that_are_turned_away_ask_again_only_when_their_turn_may_have_come() {
+fn refused_instances_request_permits_only_when_their_turn_may_have_come() {
     let harness = fleet(1);
     harness.upstreams[0].name_limit(Some("1"));
     let asked = block_on(async {
@@ -291,9 +292,10 @@
         let counter = "jd_gateway_permits_total{outcome=\"turned-away\"}";
         harness.counted(counter).await
     });
-    // Twice a second each, and as often again at the most while they learn of each other.
-    let seconds = (HEARD_WITHIN + LOAD).as_secs_f64();
+    // Two permit requests a second for each instance, and half as many again while the
+    // instances learn of each other.
+    let seconds = (SPREAD_WITHIN + LOAD).as_secs_f64();
     let most = INSTANCES as f64 * seconds * 2.0 * 1.5;
-    assert!((asked as f64) < most, "{asked} asked");
-    assert!(asked > 0, "nobody was turned away");
+    assert!((asked as f64) < most, "{asked} permit requests");
+    assert!(asked > 0, "no permit request was refused");
 }
--- a/crates/gateway/tests/whole/restarts.rs
+++ b/crates/gateway/tests/whole/restarts.rs
@@ -1,4 +1,5 @@
-//! Upstreams that start again under their identity, and entries of other writers.
+//! Upstreams that restart under the same identity, and entries that other writers
+//! overwrite.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,23 +13,23 @@
 use crate::fakes::Harness;
 use crate::fakes::Reply;
 
-/// Waits until the gateway has seen all that the store holds.
-async fn until_seen(harness: &Harness) {
+/// Waits until the gateway has applied all changes of the store.
+async fn until_caught_up(harness: &Harness) {
     while !harness.store.is_caught_up() {
         Timer::after(Duration::from_millis(2)).await;
     }
 }
 
-/// An upstream starts again elsewhere under its identity. What was known of it, its
-/// address included, was kept by identity, and requests went to where it had been.
+/// An upstream restarts at another address under the same identity. Its earlier address
+/// was kept by identity, and requests went there.
 #[test]
-fn requests_go_to_where_an_upstream_has_started_again() {
+fn requests_go_to_the_new_address_of_a_restarted_upstream() {
     let harness = Harness::start(vec![vec![Reply::Whole("a")], vec![Reply::Whole("b")]]);
     block_on(async {
         harness.until_ready(true).await;
         harness.store.change(Change::UpstreamRemoved("i-1".into()));
         harness.announce("i-0", 1, UpstreamStart::at_millis(9_000));
-        until_seen(&harness).await;
+        until_caught_up(&harness).await;
         for n in 0..10 {
             let received = harness.ask("/any/x", &n.to_string()).await;
             assert_eq!(received.body, "b");
@@ -36,17 +37,17 @@
     });
 }
 
-/// An upstream goes dark with a request and starts again. The request waited for the
-/// earlier start until its time was nearly over, though it may run elsewhere.
+/// An upstream stops answering while it has a request, and restarts. The request waited
+/// for the earlier start until its deadline was close, though it may run elsewhere.
 #[test]
-fn a_request_at_an_earlier_start_goes_on_elsewhere() {
+fn a_request_at_an_earlier_start_runs_again_elsewhere() {
     let (_tx, rx) = async_channel::bounded(1);
     let harness = Harness::start(vec![vec![Reply::Held(rx)], vec![Reply::Whole("b")]]);
     let harness = Arc::new(harness);
     block_on(async {
         harness.until_ready(true).await;
         harness.announce("i-0", 0, UpstreamStart::at_millis(1_000));
-        until_seen(&harness).await;
+        until_caught_up(&harness).await;
         let caller = Arc::clone(&harness);
         let began = Instant::now();
         let asking = harness.spawn(async move {
@@ -66,10 +67,10 @@
     });
 }
 
-/// Another writer leaves bytes under an upstream's identity. The upstream that had
-/// been there stayed in use; now it is left out, and the other one holds.
+/// Another writer overwrites an upstream's entry with bytes that cannot be read. The
+/// upstream stayed in use; now it is excluded, and the other upstream gets the requests.
 #[test]
-fn an_upstream_whose_entry_is_written_over_gets_nothing_new() {
+fn an_upstream_whose_entry_is_overwritten_gets_no_requests() {
     let harness = Harness::start(vec![vec![Reply::Whole("a")], vec![Reply::Whole("b")]]);
     block_on(async {
         harness.until_ready(true).await;
@@ -77,7 +78,7 @@
             id: "i-0".into(),
             reason: "no text".into(),
         });
-        until_seen(&harness).await;
+        until_caught_up(&harness).await;
         let before = harness.upstreams[0].count();
         for n in 0..20 {
             let received = harness.ask("/any/x", &n.to_string()).await;
