--- a/crates/gateway/src/stage_batches.rs
+++ b/crates/gateway/src/batch_dispatcher.rs
@@ -12,26 +12,26 @@
 use compact_str::CompactString;
 use compact_str::format_compact;
 use jd_net::lock;
-use jd_net::within;
+use jd_net::with_timeout;
 use jd_serving::BatchCall;
 use jd_serving::CallResult;
 use jd_serving::Content;
 use jd_serving::JobFailure;
 use jd_serving::JobKey;
 use jd_serving::PieceResult;
-use jd_serving::RoomQuestion;
-use jd_serving::RoomReport;
 use jd_serving::Shard;
-use jd_serving::StageDesk;
 use jd_serving::StageJob;
+use jd_serving::StageScheduler;
+use jd_serving::StorageQuery;
+use jd_serving::StorageReport;
 use jd_types::MonoTime;
 
-use crate::result_free::ResultFree;
+use crate::result_free_queue::ResultFreeQueue;
 use crate::run_events::UpstreamRef;
-use crate::send_gate::Purpose;
-use crate::send_gate::SendFailure;
-use crate::send_gate::Withheld;
 use crate::state::State;
+use crate::upstream_client::SendFailure;
+use crate::upstream_client::SendPurpose;
+use crate::upstream_client::Withheld;
 use crate::upstream_table::UpstreamTable;
 
 /// How often waiting pieces are looked at without any event: for upstreams
@@ -49,7 +49,7 @@
 
 #[derive(Debug, Default)]
 struct Desk {
-    desk: StageDesk,
+    desk: StageScheduler,
     waiters: HashMap<JobKey, Sender<JobOutcome>>,
     table: Option<Arc<UpstreamTable>>,
     /// True while this instance is the one that is asked first.
@@ -58,23 +58,23 @@
 
 /// Fills batches: the desk's decisions, carried out.
 #[derive(Debug)]
-pub(crate) struct StageBatches {
+pub(crate) struct BatchDispatcher {
     state: Arc<State>,
-    free: Arc<ResultFree>,
+    free_queue: Arc<ResultFreeQueue>,
     /// One desk for each part of the upstreams that this instance works on.
     desks: Mutex<BTreeMap<Shard, Desk>>,
 }
 
 /// Cancels a job when its caller does not wait any more.
 struct JobGuard {
-    batches: Arc<StageBatches>,
+    dispatcher: Arc<BatchDispatcher>,
     shard: Shard,
     key: JobKey,
 }
 
 impl Drop for JobGuard {
     fn drop(&mut self) {
-        let mut desks = lock(&self.batches.desks);
+        let mut desks = lock(&self.dispatcher.desks);
         if let Some(desk) = desks.get_mut(&self.shard)
             && desk.waiters.remove(&self.key).is_some()
         {
@@ -83,11 +83,11 @@
     }
 }
 
-impl StageBatches {
-    pub(crate) fn new(state: Arc<State>, free: Arc<ResultFree>) -> StageBatches {
-        StageBatches {
+impl BatchDispatcher {
+    pub(crate) fn new(state: Arc<State>, free_queue: Arc<ResultFreeQueue>) -> BatchDispatcher {
+        BatchDispatcher {
             state,
-            free,
+            free_queue,
             desks: Mutex::default(),
         }
     }
@@ -95,7 +95,7 @@
     /// Does the stages of a request on one part of the upstreams. Dropping the
     /// future cancels them.
     pub(crate) async fn run(self: &Arc<Self>, shard: Shard, job: StageJob) -> JobOutcome {
-        self.state.use_shard(&shard);
+        self.state.mark_shard_used(&shard);
         let (tx, rx) = async_channel::bounded(1);
         let key = {
             let now = self.state.now();
@@ -113,7 +113,7 @@
             key
         };
         let _guard = JobGuard {
-            batches: Arc::clone(self),
+            dispatcher: Arc::clone(self),
             shard: shard.clone(),
             key,
         };
@@ -127,13 +127,13 @@
         let mut desks = lock(&self.desks);
         let mut unknown = Vec::new();
         for handle in handles {
-            match desks.values_mut().find(|d| d.desk.holds(&handle)) {
-                Some(desk) => desk.desk.release(vec![handle]),
+            match desks.values_mut().find(|d| d.desk.holds_result(&handle)) {
+                Some(desk) => desk.desk.release_results(vec![handle]),
                 None => unknown.push(handle),
             }
         }
         drop(desks);
-        self.free.add(unknown);
+        self.free_queue.add(unknown);
         self.pump_all();
     }
 
@@ -182,7 +182,7 @@
     fn pump_all(self: &Arc<Self>) {
         let waiting: Vec<Shard> = {
             let desks = lock(&self.desks);
-            let waiting = desks.iter().filter(|(_, d)| d.desk.is_waiting());
+            let waiting = desks.iter().filter(|(_, d)| d.desk.has_pending_work());
             waiting.map(|(shard, _)| shard.clone()).collect()
         };
         for shard in waiting {
@@ -200,63 +200,66 @@
         self.follow_upstreams(shard, desk);
         let quarantine = &self.state.quarantine;
         desk.desk
-            .quarantine(|content| quarantine.time_left(now, content));
+            .fail_quarantined(|content| quarantine.time_left(now, content));
         desk.desk.expire(now);
-        for question in desk.desk.room_questions(now) {
+        for question in desk.desk.storage_queries(now) {
             let asking = Arc::clone(self).ask_room(shard.clone(), question);
             self.state.executor.spawn(asking).detach();
         }
         while let Some(call) = desk.desk.next_call(now) {
-            let batches = Arc::clone(self);
+            let dispatcher = Arc::clone(self);
             self.state
                 .executor
-                .spawn(batches.make(shard.clone(), call))
+                .spawn(dispatcher.make(shard.clone(), call))
                 .detach();
         }
-        for end in desk.desk.take_ended() {
+        for end in desk.desk.take_finished() {
             if let Some(tx) = desk.waiters.remove(&end.key) {
                 // Fails only if nobody waits any more.
                 let _ = tx.try_send(end.outcome);
             }
         }
-        self.free.add(desk.desk.take_unused());
+        self.free_queue.add(desk.desk.take_unused_results());
     }
 
     /// Asks an upstream how much room it has.
-    async fn ask_room(self: Arc<Self>, shard: Shard, question: RoomQuestion) {
+    async fn ask_room(self: Arc<Self>, shard: Shard, question: StorageQuery) {
         let told = self.room_told(&question).await;
         log::info!(
             service = question.service.as_str(),
             upstream = question.upstream.as_str(),
-            free:? = told.map(|t| t.free);
+            free:? = told.map(|t| t.free_bytes);
             "room asked"
         );
         if let Some(desk) = lock(&self.desks).get_mut(&shard) {
             let now = self.state.now();
-            desk.desk.told_room(now, &question, told);
+            desk.desk.record_storage_report(now, &question, told);
         }
         self.pump(&shard);
     }
 
-    async fn room_told(&self, question: &RoomQuestion) -> Option<RoomReport> {
+    async fn room_told(&self, question: &StorageQuery) -> Option<StorageReport> {
         let (state, dialect) = (&self.state, &self.state.dialect);
         let upstream = UpstreamRef {
             service: question.service.clone(),
-            upstream: question.upstream.clone(),
+            id: question.upstream.clone(),
             start: question.start,
             address: question.address,
         };
-        let permit = state.gate.permit(state, upstream, Purpose::Upkeep).await;
-        let req = dialect.room_request(&question.upstream);
+        let permit = state
+            .upstream_client
+            .permit(state, upstream, SendPurpose::Maintenance)
+            .await;
+        let req = dialect.storage_request(&question.upstream);
         let sending = state
-            .gate
+            .upstream_client
             .send(state, permit.ok()?, req, ROOM_WITHIN, || {});
         let response = sending.await.ok()?;
         if !response.status.is_success() {
             return None;
         }
-        let body = within(ROOM_WITHIN, response.whole(MAX_ANSWER)).await?;
-        dialect.room_report(&body.ok()?)
+        let body = with_timeout(ROOM_WITHIN, response.read_all(MAX_ANSWER)).await?;
+        dialect.storage_report(&body.ok()?)
     }
 
     async fn make(self: Arc<Self>, shard: Shard, call: BatchCall) {
@@ -268,15 +271,15 @@
             service = call.service.as_str(),
             upstream = call.upstream.as_str(),
             pieces = call.pieces.len(),
-            waiting = call.waiting,
-            room_used = call.room_used,
-            far_bytes = call.far_bytes,
+            waiting = call.queued,
+            room_used = call.storage_used,
+            far_bytes = call.cross_zone_bytes,
             outcome = outcome_of(&result).as_str(),
             ms = now.since(began).as_millis() as u64;
             "call for pieces"
         );
         if let Some(desk) = lock(&self.desks).get_mut(&shard) {
-            desk.desk.finish(now, call.key, result);
+            desk.desk.complete_call(now, call.key, result);
         }
         self.pump(&shard);
     }
@@ -289,7 +292,10 @@
         for content in contents {
             match result {
                 CallResult::Answered(_) => quarantine.record_completed(now, &call.service, content),
-                CallResult::Broken => self.state.run_broke(upstream_of(call), content, began),
+                CallResult::Broken => {
+                    self.state
+                        .report_broken_run(upstream_of(call), content, began)
+                }
                 CallResult::Full
                 | CallResult::Withheld(_)
                 | CallResult::Gone
@@ -300,29 +306,33 @@
 
     async fn ask(&self, call: &BatchCall) -> CallResult {
         let (state, dialect) = (&self.state, &self.state.dialect);
-        let permit = state.gate.permit(state, upstream_of(call), Purpose::Pieces);
+        let permit = state
+            .upstream_client
+            .permit(state, upstream_of(call), SendPurpose::Pieces);
         let permit = match permit.await {
             Ok(permit) => permit,
             Err(why) => return withheld(why),
         };
         // Room that the desk counts as free has to be free when the call comes.
-        self.free.flush(call.address).await;
+        self.free_queue.flush(call.address).await;
         let req = dialect.stage_request(&call.upstream, &call.pieces);
-        let sent = state.gate.send(state, permit, req, call.patience, || {});
+        let sent = state
+            .upstream_client
+            .send(state, permit, req, call.timeout, || {});
         let response = match sent.await {
             Ok(response) => response,
             Err(SendFailure::Withheld(why)) => return withheld(why),
-            Err(SendFailure::NotSent) => return CallResult::Gone,
-            Err(SendFailure::Broken) => return CallResult::Broken,
-            Err(SendFailure::Silent) => return CallResult::Failed,
+            Err(SendFailure::ConnectFailed) => return CallResult::Gone,
+            Err(SendFailure::ConnectionLost) => return CallResult::Broken,
+            Err(SendFailure::TimedOut) => return CallResult::Failed,
         };
-        let head = dialect.answer_head(response.status, &response.headers);
+        let head = dialect.response_head(response.status, &response.headers);
         match head.status {
             http::StatusCode::MISDIRECTED_REQUEST => return CallResult::Gone,
             status if head.not_run || !status.is_success() => return self.refused(call),
             _ => {}
         }
-        match within(call.patience, response.whole(MAX_ANSWER)).await {
+        match with_timeout(call.timeout, response.read_all(MAX_ANSWER)).await {
             Some(Ok(body)) => match dialect.stage_results(&body, call.pieces.len()) {
                 Some(results) => CallResult::Answered(results),
                 None => CallResult::Failed,
@@ -336,8 +346,8 @@
     /// wants nothing more.
     fn refused(&self, call: &BatchCall) -> CallResult {
         let state = &self.state;
-        let (now, notices) = (state.now(), &state.notices);
-        match notices.backoff(now, call.address, &call.upstream, call.start) {
+        let (now, backoffs) = (state.now(), &state.backoffs);
+        match backoffs.backoff(now, call.address, &call.upstream, call.start) {
             Some(left) => CallResult::Withheld(left),
             None => CallResult::Full,
         }
@@ -356,7 +366,7 @@
         for service in router.services() {
             if let Some(spec) = service.batch {
                 let all = table.upstreams(&service.name);
-                let own = shard.of_service(all, |u| &u.zone);
+                let own = shard.select_upstreams(all, |u| &u.zone);
                 let now = self.state.now();
                 desk.desk.set_upstreams(now, &service.name, spec, own);
             }
@@ -366,7 +376,7 @@
 }
 
 fn withheld(why: Withheld) -> CallResult {
-    match why.wait {
+    match why.retry_after {
         Some(wait) => CallResult::Withheld(wait),
         None => CallResult::Gone,
     }
@@ -375,7 +385,7 @@
 fn upstream_of(call: &BatchCall) -> UpstreamRef {
     UpstreamRef {
         service: call.service.clone(),
-        upstream: call.upstream.clone(),
+        id: call.upstream.clone(),
         start: call.start,
         address: call.address,
     }
@@ -391,9 +401,9 @@
     for result in results {
         let kind = match result {
             PieceResult::Done(_) => 0,
-            PieceResult::Late => 1,
-            PieceResult::InputGone => 2,
-            PieceResult::NoRoom => 3,
+            PieceResult::Expired => 1,
+            PieceResult::InputMissing => 2,
+            PieceResult::StorageFull => 3,
             PieceResult::Failed => 4,
         };
         counts[kind] += 1;
--- a/crates/gateway/src/crash_reporter.rs
+++ b/crates/gateway/src/crash_reporter.rs
@@ -7,10 +7,10 @@
 
 use async_io::Timer;
 use compact_str::CompactString;
-use jd_net::Probe;
+use jd_net::ProbeResult;
 use jd_net::lock;
 use jd_serving::BrokenRun;
-use jd_serving::UpstreamEnd;
+use jd_serving::UpstreamCrash;
 use jd_types::MonoTime;
 
 use crate::peer_client::PeerClient;
@@ -71,11 +71,11 @@
     pub(crate) async fn run(self: Arc<Self>) {
         while let Some(event) = self.state.quarantine.run_events.next().await {
             match event {
-                RunEvent::Ran(run) => self.send_report(RunReport {
+                RunEvent::Completed(run) => self.send_report(RunReport {
                     completed_runs: vec![run],
                     ..RunReport::default()
                 }),
-                RunEvent::Broke {
+                RunEvent::Broken {
                     at,
                     upstream,
                     content,
@@ -89,7 +89,7 @@
     /// changes, forever.
     pub(crate) async fn report_recent_runs(self: Arc<Self>) {
         loop {
-            self.state.quarantine.runs_requested.given().await;
+            self.state.quarantine.runs_requested.wait().await;
             let completed_runs = self.state.quarantine.recent_runs(self.state.now());
             if !completed_runs.is_empty() {
                 self.send_report(RunReport {
@@ -137,7 +137,7 @@
         let runs = broken.runs.len();
         self.state.metrics.broken_runs(status.as_str(), runs);
         log::info!(
-            upstream = upstream.upstream.as_str(),
+            upstream = upstream.id.as_str(),
             service = upstream.service.as_str(),
             runs,
             contents = contents(&broken.runs).as_str(),
@@ -146,9 +146,9 @@
         );
         if status == UpstreamStatus::Ended {
             self.send_report(RunReport {
-                ends: vec![UpstreamEnd {
+                ends: vec![UpstreamCrash {
                     service: upstream.service,
-                    upstream: upstream.upstream,
+                    upstream: upstream.id,
                     start: upstream.start,
                     at: broken.at,
                     runs: broken.runs,
@@ -162,19 +162,19 @@
         if self.check_entry(upstream) == UpstreamStatus::Ended {
             return UpstreamStatus::Ended;
         }
-        match self.state.gate.probe(upstream.address).await {
-            Probe::Refused => UpstreamStatus::Ended,
-            Probe::Open | Probe::Silent => UpstreamStatus::Running,
+        match self.state.upstream_client.probe(upstream.address).await {
+            ProbeResult::Refused => UpstreamStatus::Ended,
+            ProbeResult::Open | ProbeResult::TimedOut => UpstreamStatus::Running,
         }
     }
 
     /// Checks the list of upstreams alone.
     fn check_entry(&self, upstream: &UpstreamRef) -> UpstreamStatus {
         let table = self.state.upstreams.load();
-        match table.start_of(&upstream.upstream) {
+        match table.start_of(&upstream.id) {
             Some(now) if now.is_later_than(upstream.start) => UpstreamStatus::Ended,
             Some(_) => UpstreamStatus::Running,
-            None if table.is_at(&upstream.service, upstream.address) => UpstreamStatus::Ended,
+            None if table.serves_at(&upstream.service, upstream.address) => UpstreamStatus::Ended,
             None => UpstreamStatus::Unlisted,
         }
     }
@@ -182,7 +182,7 @@
     fn send_report(self: &Arc<Self>, report: RunReport) {
         let coordinators = self.state.coordinators().into_iter().take(COORDINATORS);
         for coordinator in coordinators {
-            if coordinator == self.state.me.peers {
+            if coordinator == self.state.own_entry.peer_address {
                 self.coordinator.record_report(report.clone());
                 continue;
             }
--- a/crates/gateway/src/limiters.rs
+++ b/crates/gateway/src/limiters.rs
@@ -7,9 +7,9 @@
 
 use compact_str::CompactString;
 use jd_net::lock;
-use jd_net::within;
+use jd_net::with_timeout;
 use jd_serving::LimitNotice;
-use jd_serving::LimiterPart;
+use jd_serving::LimiterShare;
 use jd_serving::RateLimiter;
 use jd_serving::Shard;
 use jd_types::MonoTime;
@@ -63,10 +63,11 @@
         };
         let address = state.upstreams.load().address_of(id);
         let shard = address.map(shard_of);
-        let first = shard.is_some_and(|s| state.owner_order(&s).first() == Some(&state.me.peers));
+        let first = shard
+            .is_some_and(|s| state.owner_order(&s).first() == Some(&state.own_entry.peer_address));
         let part = match first {
-            true => LimiterPart::Whole,
-            false => LimiterPart::Quarter,
+            true => LimiterShare::Whole,
+            false => LimiterShare::Quarter,
         };
         let mut own = lock(&self.own);
         if own.len() > PRUNE_ABOVE {
@@ -96,8 +97,8 @@
     ) -> Result<(), Duration> {
         let order = state.owner_order(&shard_of(upstream.address));
         for limiter in order {
-            if limiter == state.me.peers {
-                return self.acquire_local(state, &upstream.upstream, priority);
+            if limiter == state.own_entry.peer_address {
+                return self.acquire_local(state, &upstream.id, priority);
             }
             if self.is_silent(state.now(), limiter) {
                 continue;
@@ -105,13 +106,13 @@
             let channel = state.channels.channel_to(limiter);
             let mut client = GatewayClient::new(channel.clone());
             let req = peer_limits::permit_request(upstream, notice, priority, state.now());
-            match within(PERMIT_TIMEOUT, client.acquire_permit(req)).await {
+            match with_timeout(PERMIT_TIMEOUT, client.acquire_permit(req)).await {
                 Some(Ok(reply)) => return peer_limits::permit_decision(state, reply.into_inner()),
                 Some(Err(_)) => {}
                 // This connection may hang forever while new ones work.
                 None => channel.reset(),
             }
-            log::warn!(limiter:% = limiter, upstream = upstream.upstream.as_str(); "instance that gives out permits does not answer");
+            log::warn!(limiter:% = limiter, upstream = upstream.id.as_str(); "instance that gives out permits does not answer");
             state.metrics.permit("silent");
             lock(&self.silent).insert(limiter, state.now());
         }
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -59,27 +59,21 @@
         headers: &HeaderMap,
         metrics: &Metrics,
     ) {
-        match dialect.named_limit(headers) {
+        match dialect.rate_limit(headers) {
             Ok(None) if !self.any() => {}
             Ok(limit) => {
                 let notice = LimitNotice {
                     start: upstream.start,
                     limit,
-                    heard: now,
+                    received_at: now,
                 };
-                self.record(
-                    now,
-                    &upstream.upstream,
-                    notice,
-                    LimitSource::Answer,
-                    metrics,
-                );
+                self.record(now, &upstream.id, notice, LimitSource::Answer, metrics);
             }
             Err(e) => {
                 let mut last = lock(&self.unreadable);
-                if last.as_ref() != Some(&upstream.upstream) {
-                    log::warn!(upstream = upstream.upstream.as_str(), error:% = e; "limit of an upstream cannot be parsed; its previous limit stays in force");
-                    *last = Some(upstream.upstream.clone());
+                if last.as_ref() != Some(&upstream.id) {
+                    log::warn!(upstream = upstream.id.as_str(), error:% = e; "limit of an upstream cannot be parsed; its previous limit stays in force");
+                    *last = Some(upstream.id.clone());
                 }
             }
         }
@@ -98,7 +92,7 @@
     /// The notice on an upstream's limit that is in force.
     pub(crate) fn notice(&self, id: &str) -> Option<LimitNotice> {
         match self.any() {
-            true => lock(&self.known).of(id),
+            true => lock(&self.known).notice(id),
             false => None,
         }
     }
@@ -109,7 +103,7 @@
             return Vec::new();
         }
         let known = lock(&self.known);
-        let notices = known.told(now);
+        let notices = known.announced(now);
         notices.map(|(id, notice)| (id.into(), notice)).collect()
     }
 
@@ -122,7 +116,7 @@
     ) {
         if self.any() {
             let mut known = lock(&self.known);
-            known.forget_gone(now, start_of);
+            known.remove_gone(now, start_of);
             metrics.limited_upstreams(known.count());
             self.any.store(!known.is_empty(), Ordering::Relaxed);
         }
@@ -138,7 +132,7 @@
         metrics: &Metrics,
     ) {
         let mut known = lock(&self.known);
-        let Some(change) = known.take(id, notice) else {
+        let Some(change) = known.record(id, notice) else {
             return;
         };
         self.any.store(true, Ordering::Relaxed);
@@ -147,10 +141,10 @@
             upstream = id,
             per_s:? = change.now.map(|r| r.per_s()),
             before:? = change.before.map(|r| r.per_s()),
-            heard_ms = now.since(notice.heard).as_millis() as u64,
+            heard_ms = now.since(notice.received_at).as_millis() as u64,
             source:? = source;
             "limit of an upstream changed"
         );
-        self.heartbeat_requested.give();
+        self.heartbeat_requested.notify();
     }
 }
--- a/crates/gateway/src/peer_client.rs
+++ b/crates/gateway/src/peer_client.rs
@@ -7,13 +7,13 @@
 
 use async_io::Timer;
 use compact_str::CompactString;
-use jd_net::within;
+use jd_net::with_timeout;
 use jd_serving::Heartbeat;
 use jd_serving::InstanceEntry;
 use jd_serving::JobFailure;
 use jd_serving::Shard;
 use jd_serving::StageJob;
-use jd_serving::watched;
+use jd_serving::heartbeat_peers;
 use jd_types::Incarnation;
 use jd_types::MonoTime;
 use jd_wire::BeatReply;
@@ -67,8 +67,8 @@
         loop {
             self.log_owner_changes(&mut first_owners);
             let all: Vec<InstanceEntry> = {
-                let knowledge = self.state.knowledge();
-                knowledge.instances.entries().cloned().collect()
+                let cluster = self.state.cluster();
+                cluster.instances.entries().cloned().collect()
             };
             self.state.channels.retain(&all);
             let pause = match all.is_empty() {
@@ -83,9 +83,9 @@
             // New findings on requests and upstreams end the wait early, after the
             // shortest pause.
             Timer::after(pause.min(MIN_HEARTBEAT_PAUSE)).await;
-            let heartbeat_requested = &self.state.beat_soon;
+            let heartbeat_requested = &self.state.heartbeat_requested;
             heartbeat_requested
-                .wait(pause.saturating_sub(MIN_HEARTBEAT_PAUSE))
+                .wait_timeout(pause.saturating_sub(MIN_HEARTBEAT_PAUSE))
                 .await;
         }
     }
@@ -130,7 +130,7 @@
         let release = ReleaseRequest {
             results: handles.iter().map(CompactString::to_string).collect(),
         };
-        let reply = within(HEARTBEAT_TIMEOUT, client.release_results(release)).await;
+        let reply = with_timeout(HEARTBEAT_TIMEOUT, client.release_results(release)).await;
         matches!(reply, Some(Ok(_)))
     }
 
@@ -139,7 +139,7 @@
     pub(crate) async fn report_crashes(&self, coordinator: SocketAddr, report: &RunReport) -> bool {
         let mut client = GatewayClient::new(self.state.channels.channel_to(coordinator));
         let req = peer_quarantine::wire_report(report, self.state.now());
-        let reply = within(HEARTBEAT_TIMEOUT, client.report_crashes(req)).await;
+        let reply = with_timeout(HEARTBEAT_TIMEOUT, client.report_crashes(req)).await;
         matches!(reply, Some(Ok(_)))
     }
 
@@ -196,7 +196,7 @@
         let mut timeout = wait + HEARTBEAT_TIMEOUT;
         loop {
             let sent = self.state.now();
-            let Some(reply) = within(timeout, client.follow(req)).await else {
+            let Some(reply) = with_timeout(timeout, client.follow(req)).await else {
                 // This connection may hang forever while new ones work.
                 channel.reset();
                 return None;
@@ -214,34 +214,34 @@
     }
 
     fn address_of(&self, id: Incarnation) -> Option<SocketAddr> {
-        let knowledge = self.state.knowledge();
-        Some(knowledge.instances.entry(id)?.peers)
+        let cluster = self.state.cluster();
+        Some(cluster.instances.entry(id)?.peer_address)
     }
 
     /// Selects the instances to exchange heartbeats with, and marks them as watched.
     fn watched(&self, mut all: Vec<InstanceEntry>) -> Vec<InstanceEntry> {
         let shards = self.state.watched_shards();
         let source = self.state.news_source().instance();
-        let ids = watched(&self.state.me, &all, &shards, source);
+        let ids = heartbeat_peers(&self.state.own_entry, &all, &shards, source);
         let now = self.state.now();
-        self.state.knowledge().instances.watch(now, &ids);
+        self.state.cluster().instances.set_monitored(now, &ids);
         all.retain(|e| ids.contains(&e.incarnation));
         all
     }
 
     async fn send_heartbeat(&self, peer: &InstanceEntry) {
-        let channel = self.state.channels.channel_to(peer.peers);
+        let channel = self.state.channels.channel_to(peer.peer_address);
         let mut client = GatewayClient::new(channel.clone());
         let beat = BeatRequest {
-            incarnation: self.state.me.incarnation.get(),
+            incarnation: self.state.own_entry.incarnation.get(),
             leaving: self.state.is_leaving(),
             ready: self.state.is_ready(),
-            has_read: self.state.has_read(),
+            has_read: self.state.store_loaded(),
             quarantine: peer_quarantine::wire_quarantine(&self.state.quarantine, self.state.now()),
             limits: peer_limits::wire_limits(&self.state),
         };
         let sent = self.state.now();
-        match within(HEARTBEAT_TIMEOUT, client.beat(beat)).await {
+        match with_timeout(HEARTBEAT_TIMEOUT, client.beat(beat)).await {
             Some(Ok(reply)) => self.apply_heartbeat_reply(peer, sent, reply.into_inner()),
             Some(Err(_)) => {}
             // This connection may hang forever while new ones work.
@@ -256,42 +256,42 @@
             .quarantine
             .apply(now, QuarantineSource::Beat, updates);
         peer_limits::record(&self.state, reply.limits);
-        let mut knowledge = self.state.knowledge();
+        let mut cluster = self.state.cluster();
         // The reply was made after the heartbeat was sent. So the age of its proof,
         // counted back from `sent`, never makes the proof look more recent than it is.
         if let Some(proof) = reply.proof {
-            knowledge
+            cluster
                 .freshness
                 .adopt(peer_replication::proof_at(sent, proof));
         }
         for backlog in reply.backlogs {
             let wait = Duration::from_millis(u64::from(backlog.wait_ms));
             if let Some(shard) = backlog.shard {
-                knowledge
+                cluster
                     .backlogs
                     .insert(peer_stages::shard_of(shard), (now, wait));
             }
         }
         let unlisted = reply.unlisted.iter();
         for entry in unlisted.filter_map(peer_instance::instance_of) {
-            if entry.peers != self.state.me.peers {
-                knowledge.instances.told(now, entry);
+            if entry.peer_address != self.state.own_entry.peer_address {
+                cluster.instances.add_reported(now, entry);
             }
         }
         let heartbeat = Heartbeat {
             leaving: reply.leaving,
             ready: reply.ready,
-            has_read: reply.has_read,
+            store_loaded: reply.has_read,
         };
         match Incarnation::new(reply.incarnation) {
             id if id == peer.incarnation => {
-                knowledge.instances.heard(now, id, heartbeat);
-                knowledge.note_version(now, id, reply.version);
+                cluster.instances.record_heartbeat(now, id, heartbeat);
+                cluster.record_version(now, id, reply.version);
             }
             later => {
-                let instances = &mut knowledge.instances;
-                instances.started_anew(now, peer.incarnation, later);
-                instances.heard(now, later, heartbeat);
+                let instances = &mut cluster.instances;
+                instances.record_restart(now, peer.incarnation, later);
+                instances.record_heartbeat(now, later, heartbeat);
             }
         }
     }
--- a/crates/gateway/src/peer_limits.rs
+++ b/crates/gateway/src/peer_limits.rs
@@ -21,7 +21,7 @@
 pub(crate) fn wire_limits(state: &State) -> Vec<UpstreamLimit> {
     let now = state.now();
     let mut limits = state.limits.notices(now);
-    limits.sort_unstable_by_key(|(_, notice)| now.since(notice.heard));
+    limits.sort_unstable_by_key(|(_, notice)| now.since(notice.received_at));
     limits.truncate(MAX_LIMITS_PER_HEARTBEAT);
     let limits = limits.into_iter();
     limits
@@ -59,7 +59,7 @@
     now: MonoTime,
 ) -> PermitRequest {
     PermitRequest {
-        limit: Some(wire_limit(&upstream.upstream, notice, now)),
+        limit: Some(wire_limit(&upstream.id, notice, now)),
         priority: u32::from(priority),
     }
 }
@@ -94,7 +94,7 @@
 }
 
 fn wire_limit(id: &str, notice: LimitNotice, now: MonoTime) -> UpstreamLimit {
-    let heard_ago = now.since(notice.heard).as_millis();
+    let heard_ago = now.since(notice.received_at).as_millis();
     UpstreamLimit {
         upstream: id.into(),
         start_ms: notice.start.millis().unwrap_or(0),
@@ -106,12 +106,12 @@
 /// Reads a limit from a message; none if its rate is not valid.
 fn notice_of(limit: &UpstreamLimit, now: MonoTime) -> Option<LimitNotice> {
     let start = match limit.start_ms {
-        0 => UpstreamStart::UNTOLD,
+        0 => UpstreamStart::UNKNOWN,
         ms => UpstreamStart::at_millis(ms),
     };
     Some(LimitNotice {
         start,
         limit: limit.per_s.map(RequestRate::try_from).transpose().ok()?,
-        heard: now.before(Duration::from_millis(u64::from(limit.heard_ms_ago))),
+        received_at: now.before(Duration::from_millis(u64::from(limit.heard_ms_ago))),
     })
 }
--- a/crates/gateway/src/peer_replication.rs
+++ b/crates/gateway/src/peer_replication.rs
@@ -6,11 +6,11 @@
 use bytes::Bytes;
 use futures_lite::FutureExt;
 use jd_net::lock;
-use jd_serving::News;
 use jd_serving::Proof;
-use jd_serving::SourceState;
+use jd_serving::SourceHealth;
 use jd_serving::StoreItem;
 use jd_serving::StoreRevision;
+use jd_serving::StoreUpdate;
 use jd_types::Incarnation;
 use jd_types::MonoTime;
 use jd_wire::FollowReply;
@@ -33,7 +33,7 @@
 #[derive(Debug)]
 pub(crate) struct SourceReply {
     /// In the order in which they are to be applied.
-    pub(crate) updates: Vec<News>,
+    pub(crate) updates: Vec<StoreUpdate>,
     pub(crate) proof: Option<Proof>,
     /// True while the store is unavailable to that instance.
     pub(crate) store_unavailable: bool,
@@ -42,10 +42,10 @@
 /// Builds the follow request to another instance from this instance's state.
 pub(crate) fn follow_request(state: &State, id: Incarnation, wait: Duration) -> FollowRequest {
     let now = state.now();
-    let knowledge = state.knowledge();
-    let after = knowledge.mirror.revision();
-    let knows_away = knowledge.source_state(now, id) == SourceState::StoreAway;
-    drop(knowledge);
+    let cluster = state.cluster();
+    let after = cluster.mirror.revision();
+    let knows_away = cluster.source_health(now, id) == SourceHealth::StoreUnavailable;
+    drop(cluster);
     FollowRequest {
         after: after.revision,
         after_era: after.era,
@@ -66,8 +66,8 @@
     let snapshot = match reply.packed.as_slice() {
         [] => None,
         packed => match jd_wire::unpack(packed) {
-            Ok(items) => Some(News {
-                whole: true,
+            Ok(items) => Some(StoreUpdate {
+                is_full: true,
                 items: items_of(items),
                 revision: at(reply.packed_era, reply.packed_revision),
             }),
@@ -77,8 +77,8 @@
             }
         },
     };
-    let changes = News {
-        whole: reply.whole,
+    let changes = StoreUpdate {
+        is_full: reply.whole,
         items: items_of(reply.items),
         revision: at(reply.era, reply.revision),
     };
@@ -138,22 +138,22 @@
     has: StoreRevision,
 ) -> Option<PackedSnapshot> {
     let mut snapshots = lock(&state.packed);
-    let knowledge = state.knowledge();
-    let mirror = &knowledge.mirror;
-    if mirror.revision() == StoreRevision::NOTHING || !mirror.is_behind(after) {
+    let cluster = state.cluster();
+    let mirror = &cluster.mirror;
+    if mirror.revision() == StoreRevision::ZERO || !mirror.needs_full_update(after) {
         return None;
     }
     let PackedSnapshots { latest, earlier } = &*snapshots;
-    if has == earlier.revision && !earlier.bytes.is_empty() && !mirror.is_behind(has) {
+    if has == earlier.revision && !earlier.bytes.is_empty() && !mirror.needs_full_update(has) {
         return Some(earlier.clone());
     }
     let packed = latest;
-    let is_old = mirror.is_behind(packed.revision)
-        || mirror.written_after(packed.revision) > mirror.records() / REPACK_FRACTION
+    let is_old = mirror.needs_full_update(packed.revision)
+        || mirror.written_after(packed.revision) > mirror.record_count() / REPACK_FRACTION
         || packed.bytes.is_empty();
     if is_old {
-        let all = mirror.since(StoreRevision::NOTHING);
-        drop(knowledge);
+        let all = mirror.updates_since(StoreRevision::ZERO);
+        drop(cluster);
         match jd_wire::pack(wire_items(all.items)) {
             Ok(bytes) => {
                 let latest = PackedSnapshot {
@@ -180,13 +180,13 @@
 /// store.
 pub(crate) async fn handle_follow(state: &State, req: FollowRequest) -> FollowReply {
     let received = state.now();
-    if at(req.after_era, req.after) == StoreRevision::NOTHING && !state.has_read() {
-        state.all_wanted.give();
+    if at(req.after_era, req.after) == StoreRevision::ZERO && !state.store_loaded() {
+        state.snapshot_requested.notify();
     }
     let until = received + Duration::from_millis(u64::from(req.wait_ms));
     let knows_unavailable = req.knows_away;
     loop {
-        let changed = state.news.listen();
+        let changed = state.changes.listen();
         let left = until.since(state.now());
         if left.is_zero() || has_update(state, received, &req, knows_unavailable) {
             break;
@@ -208,10 +208,13 @@
         ..FollowReply::default()
     };
     if jd_wire::put_part(&mut reply, &packed.bytes, &req) {
-        let update = state.knowledge().mirror.since(asked.max(packed.revision));
+        let update = state
+            .cluster()
+            .mirror
+            .updates_since(asked.max(packed.revision));
         reply.revision = update.revision.revision;
         reply.era = update.revision.era;
-        reply.whole = update.whole;
+        reply.whole = update.is_full;
         reply.items = wire_items(update.items);
     }
     reply
@@ -226,24 +229,24 @@
     if state.has_lost_store() != knows_unavailable {
         return true;
     }
-    let knowledge = state.knowledge();
-    let theirs = req.proof.map(|p| proof_at(received, p).asked);
+    let cluster = state.cluster();
+    let theirs = req.proof.map(|p| proof_at(received, p).asked_at);
     // The requester can use a proof only if it is of the same era.
-    let ours = knowledge.freshness.proof();
+    let ours = cluster.freshness.proof();
     let ours = ours.filter(|p| p.revision.era == req.after_era);
-    let ours = ours.map(|p| p.asked);
+    let ours = ours.map(|p| p.asked_at);
     let is_newer = match (ours, theirs) {
         (Some(ours), Some(theirs)) => ours > theirs + MIN_PROOF_GAIN,
         (ours, None) => ours.is_some(),
         (None, Some(_)) => false,
     };
-    is_newer || knowledge.mirror.revision() > at(req.after_era, req.after)
+    is_newer || cluster.mirror.revision() > at(req.after_era, req.after)
 }
 
 /// The most recent proof, with its age.
 pub(crate) fn wire_proof(state: &State) -> Option<WireProof> {
-    let proof = state.knowledge().freshness.proof()?;
-    let age = state.now().since(proof.asked);
+    let proof = state.cluster().freshness.proof()?;
+    let age = state.now().since(proof.asked_at);
     Some(WireProof {
         revision: proof.revision.revision,
         era: proof.revision.era,
@@ -255,7 +258,7 @@
 /// A proof from another instance, whose age counts back from `moment`.
 pub(crate) fn proof_at(moment: MonoTime, proof: WireProof) -> Proof {
     Proof {
-        asked: moment.before(Duration::from_millis(u64::from(proof.ms_ago))),
+        asked_at: moment.before(Duration::from_millis(u64::from(proof.ms_ago))),
         revision: at(proof.era, proof.revision),
     }
 }
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -66,7 +66,7 @@
         let list = self.list.load();
         match list.is_empty() {
             true => None,
-            false => list.quarantine_left(now, content),
+            false => list.quarantine_remaining(now, content),
         }
     }
 
@@ -82,19 +82,19 @@
         updates: impl IntoIterator<Item = QuarantineUpdate>,
     ) {
         for update in updates {
-            let known = self.list.load().of(now, update.content);
+            let known = self.list.load().get(now, update.content);
             if known.is_some_and(|held| held.state >= update.state) {
                 continue;
             }
             let mut is_new = false;
             self.list.rcu(|list| {
                 let mut next = QuarantineList::clone(list);
-                is_new = next.take(now, update.content, update.state, update.left);
+                is_new = next.merge(now, update.content, update.state, update.left);
                 next
             });
             if is_new {
-                self.runs_requested.give();
-                self.heartbeat_requested.give();
+                self.runs_requested.notify();
+                self.heartbeat_requested.notify();
             }
             // Suspicions are logged only where they arise, because there can be many.
             if is_new && update.state.phase != QuarantinePhase::Suspected {
@@ -114,7 +114,7 @@
     pub(crate) fn set_stored(&self, content: Content, state: Option<QuarantineState>) {
         self.list.rcu(|list| {
             let mut next = QuarantineList::clone(list);
-            next.stored(content, state);
+            next.set_stored(content, state);
             next
         });
     }
@@ -126,17 +126,17 @@
         }
         self.list.rcu(|list| {
             let mut next = QuarantineList::clone(list);
-            next.relist(stored);
+            next.replace_stored(stored);
             next
         });
     }
 
     /// Notes that a request completed a run at a service.
     pub(crate) fn record_completed(&self, now: MonoTime, service: &str, content: Content) {
-        lock(&self.recent).note(now, service, content);
-        let held = self.list.load().of(now, content);
-        if held.is_some_and(|held| held.state.is_open()) {
-            self.run_events.add(RunEvent::Ran(CompletedRun {
+        lock(&self.recent).record(now, service, content);
+        let held = self.list.load().get(now, content);
+        if held.is_some_and(|held| held.state.is_active()) {
+            self.run_events.add(RunEvent::Completed(CompletedRun {
                 service: service.into(),
                 content,
                 at: now,
@@ -147,9 +147,9 @@
     /// Recently completed runs of requests that are suspected or quarantined.
     pub(crate) fn recent_runs(&self, now: MonoTime) -> Vec<CompletedRun> {
         let list = self.list.load();
-        let open = list.all(now).filter(|(_, held)| held.state.is_open());
+        let open = list.entries(now).filter(|(_, held)| held.state.is_active());
         let recent = lock(&self.recent);
-        open.flat_map(|(content, _)| recent.of(now, content))
+        open.flat_map(|(content, _)| recent.runs_of(now, content))
             .collect()
     }
 }
--- a/crates/gateway/src/quarantine_coordinator.rs
+++ b/crates/gateway/src/quarantine_coordinator.rs
@@ -11,7 +11,7 @@
 use jd_serving::Content;
 use jd_serving::CrashEvidence;
 use jd_serving::Finding;
-use jd_serving::HELD_FOR;
+use jd_serving::QUARANTINE_TTL;
 use jd_serving::QuarantineEntry;
 use jd_serving::QuarantinePhase;
 use jd_serving::QuarantineState;
@@ -67,11 +67,11 @@
         let now = state.now();
         let mut evidence = lock(&self.evidence);
         for end in report.ends {
-            evidence.ended(now, end);
+            evidence.record_crash(now, end);
         }
         let mut cleared = Vec::new();
         for run in report.completed_runs {
-            if evidence.completed(&run) || self.completed_after_hold(now, &run) {
+            if evidence.record_completed_run(&run) || self.completed_after_hold(now, &run) {
                 cleared.push(run.content);
             }
         }
@@ -81,7 +81,7 @@
                 self.release(now, content, "it ran to its end");
             }
         }
-        self.report_received.give();
+        self.report_received.notify();
     }
 
     /// True if a request completed a run after it was suspected or quarantined. This
@@ -92,12 +92,12 @@
     /// services before it crashes each upstream that runs the request itself, and each of
     /// them released it.
     fn completed_after_hold(&self, now: MonoTime, run: &CompletedRun) -> bool {
-        if self.link.state.does_stages(&run.service) {
+        if self.link.state.serves_stages(&run.service) {
             return false;
         }
         let list = self.link.state.quarantine.list();
-        let held = list.of(now, run.content);
-        held.is_some_and(|h| run.at > h.since())
+        let held = list.get(now, run.content);
+        held.is_some_and(|h| run.at > h.first_recorded())
     }
 
     /// Evaluates the evidence and writes quarantines to the store, forever.
@@ -108,7 +108,7 @@
                 true => IDLE_INTERVAL,
                 false => EVALUATE_INTERVAL,
             };
-            self.report_received.wait(pause).await;
+            self.report_received.wait_timeout(pause).await;
             self.evaluate();
             let now = self.link.state.now();
             if self.is_idle() || now < next_write || !self.is_first() {
@@ -130,7 +130,7 @@
 
     fn is_first(&self) -> bool {
         let state = &self.link.state;
-        state.coordinators().first() == Some(&state.me.peers)
+        state.coordinators().first() == Some(&state.own_entry.peer_address)
     }
 
     fn evaluate(&self) {
@@ -146,7 +146,7 @@
             return;
         }
         let table = state.upstreams.load();
-        evidence.check(now, |id, start| table.start_of(id) == Some(start));
+        evidence.discard_listed(now, |id, start| table.start_of(id) == Some(start));
         let findings = evidence.findings(now);
         drop(evidence);
         // The instance that decided on the quarantine has the evidence, and may no longer
@@ -175,23 +175,23 @@
         log::warn!(
             content:% = finding.content,
             phase = phase.as_str(),
-            ends = finding.ends,
-            longest_ms = finding.longest.as_millis() as u64;
+            ends = finding.crashes,
+            longest_ms = finding.longest_run.as_millis() as u64;
             "upstreams ended with a request"
         );
         if phase == QuarantinePhase::Quarantined {
             let list = quarantine.list();
             let mut decided_here = lock(&self.decided_here);
-            decided_here.retain(|c| list.of(now, *c).is_some());
+            decided_here.retain(|c| list.get(now, *c).is_some());
             decided_here.insert(finding.content);
         }
-        self.decide(now, finding.content, next, HELD_FOR);
+        self.decide(now, finding.content, next, QUARANTINE_TTL);
     }
 
     fn release(&self, now: MonoTime, content: Content, why: &'static str) {
         let quarantine = &self.link.state.quarantine;
-        let held = quarantine.list().of(now, content);
-        let Some(held) = held.filter(|h| h.state.is_open()) else {
+        let held = quarantine.list().get(now, content);
+        let Some(held) = held.filter(|h| h.state.is_active()) else {
             return;
         };
         log::warn!(content:% = content, reason = why; "request released from quarantine");
@@ -199,7 +199,7 @@
             phase: QuarantinePhase::Released,
             ..held.state
         };
-        self.decide(now, content, next, held.lapses.since(now));
+        self.decide(now, content, next, held.expires_at.since(now));
     }
 
     fn decide(&self, now: MonoTime, content: Content, next: QuarantineState, left: Duration) {
@@ -219,8 +219,8 @@
     /// would crash three more upstreams. Suspicions are not worth a call.
     async fn write(&self, now: MonoTime) -> Result<(), StoreError> {
         let list = self.link.state.quarantine.list();
-        for (content, held) in list.all(now) {
-            if needs_write(&held) && held.lapses.since(now) > MIN_LEASE {
+        for (content, held) in list.entries(now) {
+            if needs_write(&held) && held.expires_at.since(now) > MIN_LEASE {
                 self.write_entry(now, content, held).await?;
             }
         }
@@ -233,7 +233,7 @@
         content: Content,
         held: QuarantineEntry,
     ) -> Result<(), StoreError> {
-        let left = held.lapses.since(now);
+        let left = held.expires_at.since(now);
         let StoreLink { state, store, .. } = &*self.link;
         let taking = store.lease(left);
         let lease = self.link.call(StoreCall::Lease, CALL_TIMEOUT, taking);
--- a/crates/gateway/src/revision_poller.rs
+++ b/crates/gateway/src/revision_poller.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use async_io::Timer;
-use jd_serving::NewsSource;
+use jd_serving::UpdateSource;
 
 use crate::StoreError;
 use crate::store_call::StoreCall;
@@ -41,10 +41,10 @@
                     Timer::after(retry_pause(failures)).await;
                 }
             }
-            let follows = state.news_source() != NewsSource::Store;
+            let follows = state.news_source() != UpdateSource::Store;
             // A proof is useless before the first load. All instances of a fleet that
             // starts at once would poll several times a second while they load.
-            if follows || !state.has_read() {
+            if follows || !state.store_loaded() {
                 failures = 0;
                 continue;
             }
@@ -52,7 +52,7 @@
             let polling = store.revision();
             let timeout = call_timeout(failures);
             match self.link.call(StoreCall::Confirm, timeout, polling).await {
-                Ok(revision) if revision.era < state.knowledge().mirror.revision().era => {
+                Ok(revision) if revision.era < state.cluster().mirror.revision().era => {
                     failures = failures.saturating_add(1);
                     self.link
                         .call_failed(StoreCall::Confirm, StoreError::EraMismatch);
@@ -60,8 +60,11 @@
                 Ok(revision) => {
                     failures = 0;
                     self.link.call_succeeded();
-                    state.knowledge().freshness.confirmed(asked, revision);
-                    state.news.notify(usize::MAX);
+                    state
+                        .cluster()
+                        .freshness
+                        .record_confirmation(asked, revision);
+                    state.changes.notify(usize::MAX);
                 }
                 Err(e) => {
                     failures = failures.saturating_add(1);
@@ -80,7 +83,7 @@
         let due = due.mul_f64(0.85 + 0.3 * fastrand::f64());
         let mut wait = due;
         loop {
-            let lost = state.proof_wanted.wait(wait).await;
+            let lost = state.proof_requested.wait_timeout(wait).await;
             match state.proof_age() {
                 Some(age) if !lost && age < due => wait = due - age,
                 _ => return,
--- a/crates/gateway/src/store_applier.rs
+++ b/crates/gateway/src/store_applier.rs
@@ -7,12 +7,12 @@
 use jd_serving::Content;
 use jd_serving::Deployment;
 use jd_serving::InstanceEntry;
-use jd_serving::News;
-use jd_serving::NewsSource;
-use jd_serving::Reading;
 use jd_serving::Router;
+use jd_serving::SnapshotKind;
 use jd_serving::StoreItem;
 use jd_serving::StoreRevision;
+use jd_serving::StoreUpdate;
+use jd_serving::UpdateSource;
 use jd_serving::UpstreamEntry;
 use jd_types::Incarnation;
 use jd_types::Name;
@@ -21,7 +21,7 @@
 use crate::QuarantineRecord;
 use crate::Record;
 use crate::Store;
-use crate::knowledge::KnownDeployment;
+use crate::cluster_state::ActiveDeployment;
 use crate::quarantine::QuarantineSource;
 use crate::quarantine::QuarantineUpdate;
 use crate::state::State;
@@ -78,13 +78,13 @@
 impl StoreApplier {
     /// Applies an update; false if it is older than the current state, or if it holds
     /// changes of an era whose records have not been read here.
-    pub(crate) fn apply(&self, news: News) -> bool {
-        let News {
-            whole,
+    pub(crate) fn apply(&self, news: StoreUpdate) -> bool {
+        let StoreUpdate {
+            is_full: whole,
             items,
             revision,
         } = news;
-        let known = self.state.knowledge().mirror.revision();
+        let known = self.state.cluster().mirror.revision();
         match whole {
             true if revision < known => {
                 log::warn!(revision:%, known:%; "snapshot of the store is older than the current state; ignored");
@@ -96,12 +96,12 @@
         }
         let now = self.state.now();
         {
-            let mut knowledge = self.state.knowledge();
-            knowledge.freshness.applied(revision);
-            knowledge.listed_at.get_or_insert(now);
+            let mut cluster = self.state.cluster();
+            cluster.freshness.record_applied(revision);
+            cluster.instances_listed_at.get_or_insert(now);
         }
-        self.state.listed.set();
-        self.state.news.notify(usize::MAX);
+        self.state.instances_listed.set();
+        self.state.changes.notify(usize::MAX);
         true
     }
 
@@ -113,16 +113,18 @@
             }
         }
         let now = self.state.now();
-        self.state.knowledge().listed_at.get_or_insert(now);
-        self.state.listed.set();
+        self.state.cluster().instances_listed_at.get_or_insert(now);
+        self.state.instances_listed.set();
     }
 
     /// The other instances among the items.
     pub(crate) fn decode_sample(&self, items: &[StoreItem]) -> Vec<InstanceEntry> {
-        let me = &self.state.me;
+        let me = &self.state.own_entry;
         let entries = self.decode(items).into_iter();
         let entries = entries.filter_map(|(change, _)| match change {
-            Change::Put(Record::Instance(entry)) if entry.peers != me.peers => Some(entry),
+            Change::Put(Record::Instance(entry)) if entry.peer_address != me.peer_address => {
+                Some(entry)
+            }
             _ => None,
         });
         entries.collect()
@@ -138,14 +140,14 @@
     }
 
     fn apply_snapshot(&self, items: Vec<StoreItem>, revision: StoreRevision, known: StoreRevision) {
-        let is_first = known == StoreRevision::NOTHING;
+        let is_first = known == StoreRevision::ZERO;
         let reading = match is_first || revision.is_same_era(known) {
-            true => Reading::Complete,
-            false => Reading::Restored,
+            true => SnapshotKind::Complete,
+            false => SnapshotKind::Restored,
         };
         let items = self.retain_newer_deployment(items, revision, true);
         let changes: Vec<(Change, StoreItem)> = self.decode(&items);
-        self.state.knowledge().mirror.replace(items, revision);
+        self.state.cluster().mirror.replace(items, revision);
         let mut upstreams: Vec<UpstreamEntry> = Vec::new();
         let mut instances: Vec<Incarnation> = Vec::new();
         let mut quarantined: Vec<Content> = Vec::new();
@@ -176,28 +178,28 @@
         }
         self.state.quarantine.retain_stored(&quarantined);
         let now = self.state.now();
-        if reading == Reading::Restored {
+        if reading == SnapshotKind::Restored {
             log::warn!(revision:%, known:%; "store was restored from a copy; records that it lost are written again");
         }
         {
-            let mut knowledge = self.state.knowledge();
-            knowledge.instances.relist(now, &instances, reading);
-            changed |= knowledge.upstreams.replace(now, upstreams, reading);
-            changed |= knowledge.evacuated.replace(now, evacuated, reading);
+            let mut cluster = self.state.cluster();
+            cluster.instances.replace_listed(now, &instances, reading);
+            changed |= cluster.upstreams.replace(now, upstreams, reading);
+            changed |= cluster.evacuated_zones.replace(now, evacuated, reading);
         }
         if changed {
             self.state.rebuild_upstreams();
         }
-        let is_listed = || instances.contains(&self.state.me.incarnation);
-        if !is_first && (reading == Reading::Restored || !is_listed()) {
-            self.state.entry_gone.give();
+        let is_listed = || instances.contains(&self.state.own_entry.incarnation);
+        if !is_first && (reading == SnapshotKind::Restored || !is_listed()) {
+            self.state.own_entry_removed.notify();
         }
         log::info!(revision:%; "full snapshot of the store applied");
     }
 
     fn apply_changes(&self, items: Vec<StoreItem>, revision: StoreRevision) {
         let items = self.retain_newer_deployment(items, revision, false);
-        let items = self.state.knowledge().mirror.apply(items, revision);
+        let items = self.state.cluster().mirror.apply(items, revision);
         let now = self.state.now();
         let mut changed = false;
         let mut upstream_log = self.upstream_log(items.len());
@@ -205,28 +207,32 @@
             match change {
                 Change::Put(Record::Upstream(entry)) => {
                     upstream_log.written(&entry, revision);
-                    changed |= self.state.knowledge().upstreams.put(now, entry);
+                    changed |= self.state.cluster().upstreams.put(now, entry);
                 }
                 Change::Put(Record::EvacuatedZone(zone)) => {
                     log::info!(zone:% = zone, revision:%; "zone evacuated; its upstreams get no new requests");
-                    changed |= self.state.knowledge().evacuated.evacuate(zone);
+                    changed |= self.state.cluster().evacuated_zones.evacuate(zone);
                 }
                 Change::EvacuationEnded(zone) => {
                     log::info!(zone:% = zone, revision:%; "zone no longer evacuated");
-                    changed |= self.state.knowledge().evacuated.take_back(now, &zone);
+                    changed |= self
+                        .state
+                        .cluster()
+                        .evacuated_zones
+                        .end_evacuation(now, &zone);
                 }
                 Change::Put(record) => self.apply_record(record, &item),
                 Change::UpstreamRemoved(id) => {
                     upstream_log.removed(&id, revision);
-                    changed |= self.state.knowledge().upstreams.remove(now, &id);
+                    changed |= self.state.cluster().upstreams.remove(now, &id);
                 }
                 Change::UpstreamUnreadable { id, reason } => {
                     changed |= self.exclude_upstream(&id, &reason, item.revision);
                 }
-                Change::InstanceRemoved(id) if id == self.state.me.incarnation => {
-                    self.state.entry_gone.give();
+                Change::InstanceRemoved(id) if id == self.state.own_entry.incarnation => {
+                    self.state.own_entry_removed.notify();
                 }
-                Change::InstanceRemoved(id) => self.state.knowledge().instances.unlist(id),
+                Change::InstanceRemoved(id) => self.state.cluster().instances.unlist(id),
                 Change::QuarantineRemoved(content) => {
                     self.state.quarantine.set_stored(content, None)
                 }
@@ -241,7 +247,8 @@
     /// Decides how a batch of changes is logged: line by line if this instance reads the
     /// store itself or the changes are few, else as a summary.
     fn upstream_log(&self, changes: usize) -> UpstreamLog {
-        let each = changes <= MAX_LINES_PER_BATCH || self.state.news_source() == NewsSource::Store;
+        let each =
+            changes <= MAX_LINES_PER_BATCH || self.state.news_source() == UpdateSource::Store;
         UpstreamLog {
             each,
             written: 0,
@@ -259,7 +266,7 @@
             written:%;
             "entry does not describe an upstream; its owner has to write it again"
         );
-        self.state.knowledge().upstreams.leave_out(id)
+        self.state.cluster().upstreams.discard(id)
     }
 
     /// Replaces an older configuration among the items by the one in force here; adds it
@@ -273,7 +280,7 @@
         revision: StoreRevision,
         whole: bool,
     ) -> Vec<StoreItem> {
-        let Some(known) = self.state.knowledge().deployment.clone() else {
+        let Some(known) = self.state.cluster().deployment.clone() else {
             return items;
         };
         let mut is_missing = whole;
@@ -324,22 +331,22 @@
     fn apply_record(&self, record: Record, item: &StoreItem) {
         match record {
             Record::Deployment(deployment) => self.apply_newer_deployment(*deployment, item),
-            Record::Instance(entry) if entry.incarnation == self.state.me.incarnation => {}
-            Record::Instance(entry) if entry.peers == self.state.me.peers => {
-                let mut knowledge = self.state.knowledge();
-                knowledge.earlier_starts.push(entry.incarnation);
+            Record::Instance(entry) if entry.incarnation == self.state.own_entry.incarnation => {}
+            Record::Instance(entry) if entry.peer_address == self.state.own_entry.peer_address => {
+                let mut cluster = self.state.cluster();
+                cluster.previous_incarnations.push(entry.incarnation);
             }
             Record::Instance(entry) => {
                 let now = self.state.now();
-                let mut knowledge = self.state.knowledge();
-                knowledge.instances.put(now, entry, item.revision);
+                let mut cluster = self.state.cluster();
+                cluster.instances.put(now, entry, item.revision);
             }
             Record::Upstream(entry) => {
                 let now = self.state.now();
-                self.state.knowledge().upstreams.put(now, entry);
+                self.state.cluster().upstreams.put(now, entry);
             }
             Record::EvacuatedZone(zone) => {
-                self.state.knowledge().evacuated.evacuate(zone);
+                self.state.cluster().evacuated_zones.evacuate(zone);
             }
             Record::Quarantine(record) => self.apply_quarantine(record),
             Record::Unreadable { key, reason } => {
@@ -353,8 +360,8 @@
     /// version one after the other; of these the one that was written later wins.
     fn apply_newer_deployment(&self, deployment: Deployment, item: &StoreItem) {
         let version = deployment.version;
-        let mut knowledge = self.state.knowledge();
-        let is_newer = match &knowledge.deployment {
+        let mut cluster = self.state.cluster();
+        let is_newer = match &cluster.deployment {
             None => true,
             Some(known) if version == known.version => {
                 let later = item.revision > known.item.revision;
@@ -366,12 +373,12 @@
             return;
         }
         let item = item.clone();
-        knowledge.deployment = Some(KnownDeployment { version, item });
-        knowledge.ahead = None;
+        cluster.deployment = Some(ActiveDeployment { version, item });
+        cluster.newer_peer = None;
         let router = Router::new(deployment);
         self.state.router.store(Some(Arc::new(router)));
-        drop(knowledge);
-        self.state.divide_upstreams();
+        drop(cluster);
+        self.state.rebuild_shards();
         log::info!(version; "configuration in force");
     }
 }
--- a/crates/gateway/src/store_follower.rs
+++ b/crates/gateway/src/store_follower.rs
@@ -5,10 +5,10 @@
 
 use async_io::Timer;
 use futures_lite::FutureExt;
-use jd_serving::FirstSources;
-use jd_serving::News;
-use jd_serving::NewsSource;
-use jd_serving::SourceState;
+use jd_serving::BootstrapSources;
+use jd_serving::SourceHealth;
+use jd_serving::StoreUpdate;
+use jd_serving::UpdateSource;
 use jd_types::Incarnation;
 
 use crate::StoreError;
@@ -138,12 +138,12 @@
     /// instances read only the list of all instances, that kept the store busy for ten seconds.
     async fn first_load(&self, timeout: Duration) -> Result<(), StoreError> {
         let state = &self.link.state;
-        if state.settings.first_start && state.listed.set() {
+        if state.settings.first_start && state.instances_listed.set() {
             // No entries of earlier starts exist. This instance writes its own entry meanwhile.
             Timer::after(FIRST_START_DELAY).await;
         }
         let sample = self.reader.read_sample(timeout).await?;
-        match FirstSources::of_sample(state.me.incarnation, &sample) {
+        match BootstrapSources::from_sample(state.own_entry.incarnation, &sample) {
             Some(sources) => self.load_from_sources(sources).await,
             None => self.load_small_fleet(timeout).await,
         }
@@ -155,11 +155,11 @@
         let state = &self.link.state;
         self.reader.read_instances(timeout).await?;
         let asked = state.now();
-        while let NewsSource::Relay(id) = state.news_source()
+        while let UpdateSource::Relay(id) = state.news_source()
             && state.now().since(asked) < RELAY_FETCH_TIMEOUT
         {
             self.follow_instance(id, FIRST_FETCH_TIMEOUT).await;
-            if state.has_read() {
+            if state.store_loaded() {
                 return Ok(());
             }
         }
@@ -168,26 +168,26 @@
 
     /// Fetches everything from another instance of a large fleet; from the store if other
     /// instances request it from this one, or if none of the sources has it.
-    async fn load_from_sources(&self, mut sources: FirstSources) -> Result<(), StoreError> {
+    async fn load_from_sources(&self, mut sources: BootstrapSources) -> Result<(), StoreError> {
         let state = &self.link.state;
         let asked = state.now();
-        let yields = sources.yields_for(state.me.strength);
+        let yields = sources.store_read_delay(state.own_entry.strength);
         let requested = async {
-            state.all_wanted.given().await;
+            state.snapshot_requested.wait().await;
             Timer::after(yields).await;
             true
         };
         let fetched = async {
-            while let Some(source) = sources.ask_next()
+            while let Some(source) = sources.next_source()
                 && state.now().since(asked) < SOURCE_FETCH_TIMEOUT
             {
                 match self.peers.fetch_all_at(source, FIRST_FETCH_TIMEOUT).await {
                     Some(reply) if !reply.store_unavailable => self.apply_reply(reply),
                     // The state of a source that has lost the store may be stale, while the store
                     // has just answered this instance.
-                    Some(_) | None => sources.is_silent(source),
+                    Some(_) | None => sources.remove_unresponsive(source),
                 }
-                if state.has_read() {
+                if state.store_loaded() {
                     return false;
                 }
             }
@@ -204,7 +204,7 @@
             self.applier.apply(update);
         }
         if let Some(proof) = reply.proof {
-            self.link.state.knowledge().freshness.adopt(proof);
+            self.link.state.cluster().freshness.adopt(proof);
         }
     }
 
@@ -214,13 +214,13 @@
         loop {
             Timer::after(EXPIRE_INTERVAL).await;
             let now = state.now();
-            state.notices.expire(now);
+            state.backoffs.expire(now);
             let (upstreams_gone, zones_restored) = {
-                let mut knowledge = state.knowledge();
-                knowledge.forget_sources(now);
-                knowledge.instances.expire(now);
-                let upstreams_gone = knowledge.upstreams.expire(now);
-                (upstreams_gone, knowledge.evacuated.expire(now))
+                let mut cluster = state.cluster();
+                cluster.expire_source_health(now);
+                cluster.instances.expire(now);
+                let upstreams_gone = cluster.upstreams.expire(now);
+                (upstreams_gone, cluster.evacuated_zones.expire(now))
             };
             if upstreams_gone {
                 log::info!("upstreams whose entries lapsed with the store were not written again");
@@ -243,7 +243,7 @@
         let state = &self.link.state;
         loop {
             Timer::after(EXPIRE_INTERVAL).await;
-            let ahead = state.knowledge().ahead;
+            let ahead = state.cluster().newer_peer;
             let now = state.now();
             let Some((id, _)) = ahead.filter(|(_, since)| now.since(*since) >= MIN_AHEAD_TIME)
             else {
@@ -260,7 +260,7 @@
                     log::info!(source:% = id; "instance with a later configuration does not answer; trying the next one that reports it")
                 }
             }
-            state.knowledge().ahead = None;
+            state.cluster().newer_peer = None;
         }
     }
 
@@ -268,16 +268,16 @@
     async fn sync_round(&self, last: SyncState) -> SyncState {
         let state = &self.link.state;
         match state.news_source() {
-            NewsSource::Reader(id) | NewsSource::Relay(id)
+            UpdateSource::Reader(id) | UpdateSource::Relay(id)
                 if self.follow_instance(id, FOLLOW_TIMEOUT).await =>
             {
                 SyncState::UpToDate
             }
             _ if last == SyncState::MustReload => {
-                state.store_back.wait(UNAVAILABLE_PAUSE).await;
+                state.store_recovered.wait_timeout(UNAVAILABLE_PAUSE).await;
                 SyncState::MustReload
             }
-            NewsSource::Store => {
+            UpdateSource::Store => {
                 let others = async {
                     self.until_following_others().await;
                     SyncState::UpToDate
@@ -285,7 +285,7 @@
                 self.watch(WATCH_TIMEOUT).or(others).await
             }
             // The source is now marked as silent, so the next round uses another one.
-            NewsSource::Reader(id) | NewsSource::Relay(id) => {
+            UpdateSource::Reader(id) | UpdateSource::Relay(id) => {
                 log::info!(source:% = id; "no answer from the instance that this one follows");
                 SyncState::UpToDate
             }
@@ -294,7 +294,7 @@
 
     async fn watch(&self, wait: Duration) -> SyncState {
         let state = &self.link.state;
-        let revision = state.knowledge().mirror.revision();
+        let revision = state.cluster().mirror.revision();
         let watching = self.link.store.watch(revision, wait);
         let timeout = wait + CALL_TIMEOUT;
         match self.link.call(StoreCall::Watch, timeout, watching).await {
@@ -305,8 +305,8 @@
             }
             Ok(changes) => {
                 self.link.call_succeeded();
-                self.applier.apply(News {
-                    whole: false,
+                self.applier.apply(StoreUpdate {
+                    is_full: false,
                     items: changes.items,
                     revision: changes.revision,
                 });
@@ -319,8 +319,8 @@
             }
             Err(e) => {
                 self.link.call_failed(StoreCall::Watch, e);
-                if state.news_source() == NewsSource::Store {
-                    state.store_back.wait(UNAVAILABLE_PAUSE).await;
+                if state.news_source() == UpdateSource::Store {
+                    state.store_recovered.wait_timeout(UNAVAILABLE_PAUSE).await;
                 }
                 SyncState::UpToDate
             }
@@ -337,8 +337,8 @@
         };
         let Some(reply) = asking.or(gone).await else {
             let now = state.now();
-            let mut knowledge = state.knowledge();
-            knowledge.note_source(now, id, SourceState::Silent);
+            let mut cluster = state.cluster();
+            cluster.record_source_health(now, id, SourceHealth::Unresponsive);
             return false;
         };
         let no_changes = reply.updates.iter().all(|u| u.items.is_empty());
@@ -348,11 +348,11 @@
             true => self.handle_source_without_store(id),
             false => self.link.mark_available(),
         }
-        if !store_unavailable && state.without_proof() > MAX_FOLLOWED_PROOF_AGE {
+        if !store_unavailable && state.time_without_proof() > MAX_FOLLOWED_PROOF_AGE {
             log::info!(source:% = id; "the instance that this one follows sends no recent proof");
             let now = state.now();
-            let mut knowledge = state.knowledge();
-            knowledge.note_source(now, id, SourceState::Silent);
+            let mut cluster = state.cluster();
+            cluster.record_source_health(now, id, SourceHealth::Unresponsive);
         }
         if !no_changes {
             Timer::after(BATCHING_PAUSE).await;
@@ -370,9 +370,9 @@
     fn handle_source_without_store(&self, id: Incarnation) {
         let state = &self.link.state;
         let now = state.now();
-        let mut knowledge = state.knowledge();
-        knowledge.note_source(now, id, SourceState::StoreAway);
-        drop(knowledge);
+        let mut cluster = state.cluster();
+        cluster.record_source_health(now, id, SourceHealth::StoreUnavailable);
+        drop(cluster);
         if state.news_source().instance() == Some(id) {
             self.link.mark_unavailable();
         } else {
@@ -386,7 +386,7 @@
     /// over as readers and this one no longer polls the revision, so nothing shows that it lacks
     /// changes; it waited for its watch for half a minute.
     async fn until_following_others(&self) {
-        while self.link.state.news_source() == NewsSource::Store {
+        while self.link.state.news_source() == UpdateSource::Store {
             Timer::after(BEHIND_CHECK_INTERVAL).await;
         }
     }
@@ -397,7 +397,7 @@
         loop {
             Timer::after(BEHIND_CHECK_INTERVAL).await;
             let now = state.now();
-            if !state.knowledge().instances.is_heard(now, id) {
+            if !state.cluster().instances.is_present(now, id) {
                 return;
             }
         }
@@ -406,7 +406,7 @@
     /// Returns once the store is known to have had changes for a while that did not arrive: a
     /// connection hangs, or the store's watch delivers nothing.
     async fn until_behind(&self) {
-        let is_behind = || self.link.state.knowledge().freshness.is_behind();
+        let is_behind = || self.link.state.cluster().freshness.is_behind();
         loop {
             Timer::after(BEHIND_CHECK_INTERVAL).await;
             if is_behind() {
--- a/crates/gateway/src/store_lease.rs
+++ b/crates/gateway/src/store_lease.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use async_io::Timer;
-use jd_serving::SilentInstance;
+use jd_serving::UnresponsiveInstance;
 
 use crate::LeaseId;
 use crate::StoreError;
@@ -42,7 +42,7 @@
     /// the other entries were read, so that it can replace those of earlier starts.
     pub(crate) async fn keep_registered(self: Arc<Self>) {
         let state = &self.link.state;
-        state.listed.wait().await;
+        state.instances_listed.wait().await;
         let mut registration = Registration::default();
         loop {
             let had_lease = registration.lease.is_some();
@@ -62,7 +62,7 @@
                     RETRY_PAUSE
                 }
             };
-            if state.entry_gone.wait(pause).await && !state.is_leaving() {
+            if state.own_entry_removed.wait_timeout(pause).await && !state.is_leaving() {
                 log::info!("own entry was removed; writing it again");
                 registration.written = false;
             }
@@ -71,7 +71,7 @@
 
     /// Removes the entry.
     pub(crate) async fn withdraw(&self) {
-        let me = self.link.state.me.incarnation;
+        let me = self.link.state.own_entry.incarnation;
         let withdrawing = self.link.store.withdraw(me);
         let ended = self
             .link
@@ -94,7 +94,7 @@
                 continue;
             }
             let now = state.now();
-            let silent: Vec<SilentInstance> = state.knowledge().instances.silent(now);
+            let silent: Vec<UnresponsiveInstance> = state.cluster().instances.unresponsive(now);
             for instance in silent {
                 if fastrand::u32(..100) < REMOVE_PERCENT {
                     self.remove(instance).await;
@@ -103,16 +103,20 @@
         }
     }
 
-    async fn remove(&self, silent: SilentInstance) {
-        let SilentInstance { id, written, since } = silent;
+    async fn remove(&self, silent: UnresponsiveInstance) {
+        let UnresponsiveInstance {
+            id,
+            written,
+            silent_for: since,
+        } = silent;
         let removing = self.link.store.remove_instance(id, written);
         let ended = self.link.call(StoreCall::Remove, CALL_TIMEOUT, removing);
         let outcome = ended.await.map_or_else(StoreError::as_str, |()| "done");
         let silent_ms = since.as_millis() as u64;
         log::info!(instance:% = id, silent_ms, outcome; "entry of an instance that does not answer: removal tried");
         let now = self.link.state.now();
-        let mut knowledge = self.link.state.knowledge();
-        knowledge.instances.removal_tried(now, id);
+        let mut cluster = self.link.state.cluster();
+        cluster.instances.record_removal_attempt(now, id);
     }
 
     /// Requests or renews the lease, and writes the entry if it is not there.
@@ -131,8 +135,8 @@
                 *registration.lease.insert(taken.await?)
             }
         };
-        let earlier = std::mem::take(&mut state.knowledge().earlier_starts);
-        let announcing = store.announce(&state.me, lease, &earlier);
+        let earlier = std::mem::take(&mut state.cluster().previous_incarnations);
+        let announcing = store.announce(&state.own_entry, lease, &earlier);
         let written = self
             .link
             .call(StoreCall::Announce, CALL_TIMEOUT, announcing);
--- a/crates/gateway/src/store_link.rs
+++ b/crates/gateway/src/store_link.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use async_io::Timer;
-use jd_net::within;
-use jd_serving::NewsSource;
-use jd_serving::SourceState;
+use jd_net::with_timeout;
+use jd_serving::SourceHealth;
+use jd_serving::UpdateSource;
 
 use crate::Store;
 use crate::StoreError;
@@ -53,7 +53,7 @@
         call: impl Future<Output = Result<T, StoreError>>,
     ) -> Result<T, StoreError> {
         self.counts.add(kind);
-        let result = within(timeout, call).await;
+        let result = with_timeout(timeout, call).await;
         let result = result.unwrap_or(Err(StoreError::NoAnswer));
         let outcome = match &result {
             Ok(_) => "done",
@@ -77,20 +77,20 @@
     /// Notes that the store answered this instance.
     pub(crate) fn call_succeeded(&self) {
         let now = self.state.now();
-        let me = self.state.me.incarnation;
-        let mut knowledge = self.state.knowledge();
-        knowledge.note_source(now, me, SourceState::Able);
-        drop(knowledge);
+        let me = self.state.own_entry.incarnation;
+        let mut cluster = self.state.cluster();
+        cluster.record_source_health(now, me, SourceHealth::Available);
+        drop(cluster);
         self.mark_available();
     }
 
     /// Marks the store as available, to this instance or to the one that it follows.
     pub(crate) fn mark_available(&self) {
         let now = self.state.now();
-        let back = self.state.knowledge().upstreams.store_back(now);
+        let back = self.state.cluster().upstreams.mark_store_available(now);
         if back {
-            self.state.store_back.give();
-            self.state.news.notify(usize::MAX);
+            self.state.store_recovered.notify();
+            self.state.changes.notify(usize::MAX);
             log::info!("store is available again");
         }
     }
@@ -99,13 +99,13 @@
     pub(crate) fn call_failed(&self, kind: StoreCall, e: StoreError) {
         log::warn!(call = kind.as_str(), error:% = e; "store call failed");
         let now = self.state.now();
-        let me = self.state.me.incarnation;
-        let mut knowledge = self.state.knowledge();
-        knowledge.note_source(now, me, SourceState::StoreAway);
-        drop(knowledge);
+        let me = self.state.own_entry.incarnation;
+        let mut cluster = self.state.cluster();
+        cluster.record_source_health(now, me, SourceHealth::StoreUnavailable);
+        drop(cluster);
         // The store may refuse this instance alone while the update source still reaches
         // it.
-        if self.state.news_source() == NewsSource::Store {
+        if self.state.news_source() == UpdateSource::Store {
             self.mark_unavailable();
         }
     }
@@ -113,14 +113,14 @@
     /// Marks the store as unavailable to this instance and to all its possible update
     /// sources.
     pub(crate) fn mark_unavailable(&self) {
-        let mut knowledge = self.state.knowledge();
-        if knowledge.upstreams.is_store_away() {
+        let mut cluster = self.state.cluster();
+        if cluster.upstreams.is_store_unavailable() {
             return;
         }
-        knowledge.upstreams.store_away();
-        drop(knowledge);
+        cluster.upstreams.mark_store_unavailable();
+        drop(cluster);
         log::warn!("store is unavailable; the current state stays in use");
-        self.state.proof_wanted.give();
-        self.state.news.notify(usize::MAX);
+        self.state.proof_requested.notify();
+        self.state.changes.notify(usize::MAX);
     }
 }
--- a/crates/gateway/src/store_reader.rs
+++ b/crates/gateway/src/store_reader.rs
@@ -5,9 +5,9 @@
 
 use async_io::Timer;
 use jd_serving::InstanceEntry;
-use jd_serving::News;
 use jd_serving::StoreItem;
 use jd_serving::StoreRevision;
+use jd_serving::StoreUpdate;
 
 use crate::Page;
 use crate::RecordFilter;
@@ -37,15 +37,18 @@
         let state = &self.link.state;
         let asked = state.now();
         let (items, revision) = self.read(RecordFilter::All, timeout).await?;
-        let applied = self.applier.apply(News {
-            whole: true,
+        let applied = self.applier.apply(StoreUpdate {
+            is_full: true,
             items,
             revision,
         });
         if !applied {
             return Err(StoreError::EraMismatch);
         }
-        state.knowledge().freshness.confirmed(asked, revision);
+        state
+            .cluster()
+            .freshness
+            .record_confirmation(asked, revision);
         Ok(())
     }
 
@@ -62,7 +65,7 @@
         &self,
         timeout: Duration,
     ) -> Result<Vec<InstanceEntry>, StoreError> {
-        let bits = self.link.state.me.incarnation.get() >> 60;
+        let bits = self.link.state.own_entry.incarnation.get() >> 60;
         let sample = RecordFilter::Sample(u8::try_from(bits).unwrap_or(0));
         let page = self.read_page(sample, "", timeout).await?;
         Ok(self.applier.decode_sample(&page.items))
--- a/crates/gateway/tests/whole/fleet.rs
+++ b/crates/gateway/tests/whole/fleet.rs
@@ -21,7 +21,7 @@
 /// pass changes on, and an added route must still reach all instances.
 #[test]
 fn a_change_reaches_instances_that_do_not_watch_the_store() {
-    let mut harness = Harness::start(vec![vec![Reply::Whole("yours")]]);
+    let mut harness = Harness::start(vec![vec![Reply::Complete("yours")]]);
     harness.add_gateways(19);
     block_on(async {
         harness.until_all_answer("/any/x", 200).await;
@@ -38,7 +38,7 @@
 /// that had lapsed: the upstream got requests for eight seconds after it had left.
 #[test]
 fn a_change_arrives_though_the_store_refuses_the_readers() {
-    let mut harness = Harness::start(vec![vec![Reply::Whole("a")], vec![Reply::Whole("b")]]);
+    let mut harness = Harness::start(vec![vec![Reply::Complete("a")], vec![Reply::Complete("b")]]);
     harness.add_gateways(19);
     block_on(async {
         harness.until_all_answer("/any/x", 200).await;
@@ -62,7 +62,7 @@
 /// of all of them the last instance served callers only after eight seconds.
 #[test]
 fn a_refused_page_alone_is_read_again() {
-    let mut harness = Harness::start(vec![vec![Reply::Whole("a")]; 5]);
+    let mut harness = Harness::start(vec![vec![Reply::Complete("a")]; 5]);
     let store = harness.add_gateway(2, false);
     block_on(async {
         harness.until_all_answer("/any/x", 200).await;
@@ -75,7 +75,7 @@
 /// that read.
 #[test]
 fn an_instance_that_has_loaded_nothing_polls_no_revision() {
-    let mut harness = Harness::start(vec![vec![Reply::Whole("a")]]);
+    let mut harness = Harness::start(vec![vec![Reply::Complete("a")]]);
     let store = harness.add_gateway(0, true);
     block_on(async {
         while store.sample_reads() < 4 {
@@ -93,7 +93,7 @@
 /// was in force nowhere in one zone.
 #[test]
 fn an_instance_that_has_lost_the_store_says_so_at_once() {
-    let mut harness = Harness::start(vec![vec![Reply::Whole("yours")]]);
+    let mut harness = Harness::start(vec![vec![Reply::Complete("yours")]]);
     let store = harness.add_gateway(0, false);
     block_on(async {
         harness.until_all_answer("/any/x", 200).await;
@@ -130,7 +130,7 @@
 /// long as the store refused it.
 #[test]
 fn an_instance_that_the_store_refuses_gets_a_later_version_from_the_others() {
-    let mut harness = Harness::start(vec![vec![Reply::Whole("yours")]]);
+    let mut harness = Harness::start(vec![vec![Reply::Complete("yours")]]);
     harness.add_gateways(4);
     let refused = harness.add_gateway(0, false);
     block_on(async {
@@ -163,7 +163,7 @@
 /// told it of the removal.
 #[test]
 fn an_instance_whose_entry_was_removed_writes_it_again() {
-    let harness = Harness::start(vec![vec![Reply::Whole("a")]]);
+    let harness = Harness::start(vec![vec![Reply::Complete("a")]]);
     block_on(async {
         harness.until_ready(true).await;
         let id = harness.until_announced(1).await;
@@ -176,7 +176,7 @@
 /// entry once, failed, and from then on only renewed the lease.
 #[test]
 fn writing_a_removed_entry_is_retried_until_it_succeeds() {
-    let harness = Harness::start(vec![vec![Reply::Whole("a")]]);
+    let harness = Harness::start(vec![vec![Reply::Complete("a")]]);
     block_on(async {
         harness.until_ready(true).await;
         let id = harness.until_announced(1).await;
@@ -192,7 +192,7 @@
 /// themselves, two at most, read all records.
 #[test]
 fn a_start_in_a_fleet_reads_only_the_list_of_instances() {
-    let mut harness = Harness::start(vec![vec![Reply::Whole("a")]]);
+    let mut harness = Harness::start(vec![vec![Reply::Complete("a")]]);
     harness.add_gateways(19);
     block_on(async {
         harness.until_all_answer("/any/x", 200).await;
@@ -216,7 +216,7 @@
 /// and ran requests that only an older configuration allows.
 #[test]
 fn readers_follow_others_once_their_watch_hangs() {
-    let mut harness = Harness::start(vec![vec![Reply::Whole("a")]]);
+    let mut harness = Harness::start(vec![vec![Reply::Complete("a")]]);
     harness.add_gateways(19);
     block_on(async {
         harness.until_all_answer("/any/x", 200).await;
--- a/crates/gateway/tests/whole/limits.rs
+++ b/crates/gateway/tests/whole/limits.rs
@@ -15,9 +15,9 @@
 use futures_lite::future::block_on;
 use test_case::test_case;
 
+use crate::fakes::CallerResponse;
 use crate::fakes::FakeUpstream;
 use crate::fakes::Harness;
-use crate::fakes::Received;
 use crate::fakes::Reply;
 use crate::fakes::crash_fleet::send_repeatedly;
 
@@ -38,8 +38,8 @@
         parts: &["id: 1\ndata: a\n\n"],
         cut: false,
     };
-    let stage = Reply::Late("made", Duration::from_millis(5));
-    let mut harness = Harness::start_staged(vec![vec![stream]; upstreams], vec![stage]);
+    let stage = Reply::Delayed("made", Duration::from_millis(5));
+    let mut harness = Harness::start_with_stage(vec![vec![stream]; upstreams], vec![stage]);
     harness.add_gateways(INSTANCES - 1);
     Arc::new(harness)
 }
@@ -65,7 +65,7 @@
 
 /// Sends requests until the limit has reached all instances, and then for `LOAD`; returns
 /// the answers of this second span and its beginning.
-async fn load(harness: &Arc<Harness>, path: &'static str) -> (Vec<Received>, Instant) {
+async fn load(harness: &Arc<Harness>, path: &'static str) -> (Vec<CallerResponse>, Instant) {
     harness.until_ready(true).await;
     harness.until_all_answer("/open/x", 200).await;
     send_repeatedly(harness, path, PAUSE, SPREAD_WITHIN).await;
@@ -80,11 +80,11 @@
 #[test_case("/staged/x"; "after stages")]
 fn a_fleet_keeps_the_limit_of_an_upstream(path: &'static str) {
     let harness = fleet(3);
-    harness.upstreams[0].name_limit(Some("1"));
+    harness.upstreams[0].set_limit(Some("1"));
     let (received, counted) = block_on(load(&harness, path));
     let most = max_arrivals(&harness.upstreams[0], counted);
     assert!(most <= allowed(1.0), "{most} in four seconds");
-    let failed: Vec<&Received> = received.iter().filter(|r| r.status != 200).collect();
+    let failed: Vec<&CallerResponse> = received.iter().filter(|r| r.status != 200).collect();
     assert!(
         failed.is_empty(),
         "requests beyond the limit were not served by the others: {failed:?}"
@@ -96,7 +96,7 @@
 #[test]
 fn a_fleet_keeps_the_limit_of_a_stage_upstream() {
     let harness = fleet(3);
-    harness.upstreams[3].name_limit(Some("1"));
+    harness.upstreams[3].set_limit(Some("1"));
     let (_, counted) = block_on(load(&harness, "/staged/x"));
     let most = max_arrivals(&harness.upstreams[3], counted);
     assert!(most <= allowed(1.0), "{most} in four seconds");
@@ -108,7 +108,7 @@
 fn a_fleet_uses_the_capacity_of_limited_upstreams_and_refuses_the_rest() {
     let harness = fleet(2);
     for upstream in &harness.upstreams[..2] {
-        upstream.name_limit(Some("2"));
+        upstream.set_limit(Some("2"));
     }
     let (received, counted) = block_on(load(&harness, "/once/x"));
     for upstream in &harness.upstreams[..2] {
@@ -130,12 +130,12 @@
 #[test]
 fn the_end_of_a_limit_reaches_the_fleet() {
     let harness = fleet(2);
-    harness.upstreams[0].name_limit(Some("0.2"));
+    harness.upstreams[0].set_limit(Some("0.2"));
     block_on(async {
         let (_, counted) = load(&harness, "/any/x").await;
         let most = max_arrivals(&harness.upstreams[0], counted);
         assert!(most <= allowed(0.2), "{most} in four seconds");
-        harness.upstreams[0].name_limit(None);
+        harness.upstreams[0].set_limit(None);
         let until = Instant::now() + Duration::from_secs(30);
         loop {
             let before = harness.upstreams[0].count();
@@ -157,12 +157,12 @@
 #[test]
 fn a_limit_is_kept_when_the_instances_that_give_out_permits_are_lost() {
     let mut harness = fleet(2);
-    harness.upstreams[0].name_limit(Some("1"));
+    harness.upstreams[0].set_limit(Some("1"));
     block_on(async {
         load(&harness, "/any/x").await;
         let lost = INSTANCES - 3;
         let owned = Arc::get_mut(&mut harness).expect("no request in flight");
-        owned.end_gateways(lost);
+        owned.kill_gateways(lost);
         let counted = Instant::now();
         let received = send_repeatedly(&harness, "/any/x", PAUSE, LOAD).await;
         let most = max_arrivals(&harness.upstreams[0], counted);
@@ -185,7 +185,7 @@
 #[test]
 fn a_limit_is_learned_again_after_a_restart_of_all_instances() {
     let mut harness = fleet(2);
-    harness.upstreams[0].name_limit(Some("1"));
+    harness.upstreams[0].set_limit(Some("1"));
     block_on(async {
         load(&harness, "/any/x").await;
         let owned = Arc::get_mut(&mut harness).expect("no request in flight");
@@ -211,7 +211,7 @@
     let mut harness = Harness::start(vec![vec![cut], vec![whole.clone()], vec![whole]]);
     harness.add_gateways(INSTANCES - 1);
     let harness = Arc::new(harness);
-    harness.upstreams[1].name_limit(Some("1"));
+    harness.upstreams[1].set_limit(Some("1"));
     let (_, counted) = block_on(load(&harness, "/resume/x"));
     let most = max_arrivals(&harness.upstreams[1], counted);
     assert!(most <= allowed(1.0), "{most} in four seconds");
@@ -223,7 +223,7 @@
 #[test_case(""; "empty")]
 fn a_limit_that_cannot_be_parsed_is_ignored(limit: &'static str) {
     let harness = fleet(1);
-    harness.upstreams[0].name_limit(Some(limit));
+    harness.upstreams[0].set_limit(Some(limit));
     block_on(async {
         harness.until_ready(true).await;
         for n in 0..20 {
@@ -239,7 +239,7 @@
 #[test]
 fn instances_learn_of_a_limit_from_each_other() {
     let harness = fleet(1);
-    harness.upstreams[0].name_limit(Some("0.2"));
+    harness.upstreams[0].set_limit(Some("0.2"));
     block_on(async {
         harness.until_ready(true).await;
         // Each instance may still be reading the configuration.
@@ -259,7 +259,7 @@
 #[test]
 fn stages_do_not_run_for_requests_that_no_upstream_takes() {
     let harness = fleet(1);
-    harness.upstreams[0].name_limit(Some("0.2"));
+    harness.upstreams[0].set_limit(Some("0.2"));
     let (received, counted) = block_on(load(&harness, "/staged/x"));
     let served = received.iter().filter(|r| r.status == 200).count();
     let made = harness.upstreams[1].arrivals();
@@ -284,13 +284,13 @@
 #[test]
 fn refused_instances_request_permits_only_when_their_turn_may_have_come() {
     let harness = fleet(1);
-    harness.upstreams[0].name_limit(Some("1"));
+    harness.upstreams[0].set_limit(Some("1"));
     let asked = block_on(async {
         let (received, _) = load(&harness, "/once/x").await;
         let refused = received.iter().filter(|r| r.status == 503).count();
         assert!(refused > received.len() / 2, "{refused} refused");
         let counter = "jd_gateway_permits_total{outcome=\"turned-away\"}";
-        harness.counted(counter).await
+        harness.counter_total(counter).await
     });
     // Two permit requests a second for each instance, and half as many again while the
     // instances learn of each other.
--- a/crates/gateway/tests/whole/restarts.rs
+++ b/crates/gateway/tests/whole/restarts.rs
@@ -24,7 +24,7 @@
 /// was kept by identity, and requests went there.
 #[test]
 fn requests_go_to_the_new_address_of_a_restarted_upstream() {
-    let harness = Harness::start(vec![vec![Reply::Whole("a")], vec![Reply::Whole("b")]]);
+    let harness = Harness::start(vec![vec![Reply::Complete("a")], vec![Reply::Complete("b")]]);
     block_on(async {
         harness.until_ready(true).await;
         harness.store.change(Change::UpstreamRemoved("i-1".into()));
@@ -42,7 +42,10 @@
 #[test]
 fn a_request_at_an_earlier_start_runs_again_elsewhere() {
     let (_tx, rx) = async_channel::bounded(1);
-    let harness = Harness::start(vec![vec![Reply::Held(rx)], vec![Reply::Whole("b")]]);
+    let harness = Harness::start(vec![
+        vec![Reply::UntilReleased(rx)],
+        vec![Reply::Complete("b")],
+    ]);
     let harness = Arc::new(harness);
     block_on(async {
         harness.until_ready(true).await;
@@ -71,7 +74,7 @@
 /// upstream stayed in use; now it is excluded, and the other upstream gets the requests.
 #[test]
 fn an_upstream_whose_entry_is_overwritten_gets_no_requests() {
-    let harness = Harness::start(vec![vec![Reply::Whole("a")], vec![Reply::Whole("b")]]);
+    let harness = Harness::start(vec![vec![Reply::Complete("a")], vec![Reply::Complete("b")]]);
     block_on(async {
         harness.until_ready(true).await;
         harness.store.change(Change::UpstreamUnreadable {
--- a/crates/serving/src/watch_list.rs
+++ b/crates/serving/src/heartbeat_peers.rs
@@ -10,7 +10,7 @@
 use crate::SMALL_FLEET;
 use crate::Shard;
 use crate::ShardMap;
-use crate::owners;
+use crate::rank_owners;
 
 /// Owners of a shard that are watched: the one that is asked, and the one that is asked
 /// next.
@@ -29,14 +29,14 @@
 /// Where each watched the owners of all shards, heartbeats took more of the processor
 /// than requests, and the owners answered each instance of the fleet.
 #[derive(Debug, Default)]
-pub struct UsedShards {
+pub struct RecentShards {
     used: HashMap<Shard, MonoTime>,
 }
 
-impl UsedShards {
+impl RecentShards {
     /// A request's stages are asked for at a shard, or done here; true if that was not
     /// so lately.
-    pub fn note(&mut self, now: MonoTime, shard: &Shard) -> bool {
+    pub fn record_use(&mut self, now: MonoTime, shard: &Shard) -> bool {
         match self.used.get_mut(shard) {
             Some(at) => now.since(std::mem::replace(at, now)) >= USED_FOR,
             None => self.used.insert(shard.clone(), now).is_none(),
@@ -45,12 +45,12 @@
 
     /// The shards whose owners are watched: all if they are few, else those that were
     /// used last.
-    pub fn watched(&mut self, now: MonoTime, all: &ShardMap) -> Vec<Shard> {
+    pub fn monitored(&mut self, now: MonoTime, all: &ShardMap) -> Vec<Shard> {
         if all.count() <= MOST_SHARDS {
             return all.shards().cloned().collect();
         }
         self.used
-            .retain(|shard, at| now.since(*at) < USED_FOR && all.has(shard));
+            .retain(|shard, at| now.since(*at) < USED_FOR && all.contains(shard));
         let mut used: Vec<(MonoTime, Shard)> = self
             .used
             .iter()
@@ -66,7 +66,7 @@
 /// one the owners of `shards`, the `source` from which it hears of the store, and the few
 /// that follow it in the order of their numbers, so that everybody is watched by somebody.
 /// How many these are grows neither with the fleet nor with its shards.
-pub fn watched<'a>(
+pub fn heartbeat_peers<'a>(
     me: &'a InstanceEntry,
     others: &'a [InstanceEntry],
     shards: &[Shard],
@@ -78,7 +78,7 @@
     let everybody = || others.iter().chain([me]);
     let mut ids: Vec<Incarnation> = Vec::new();
     for shard in shards {
-        let first = owners(shard, everybody(), OWNERS);
+        let first = rank_owners(shard, everybody(), OWNERS);
         ids.extend(first.into_iter().map(|e| e.incarnation));
     }
     ids.extend(source);
