--- a/crates/gateway/src/crash_reporter.rs
+++ b/crates/gateway/src/crash_reporter.rs
@@ -146,7 +146,7 @@
         );
         if status == UpstreamStatus::Ended {
             self.send_report(RunReport {
-                ends: vec![UpstreamCrash {
+                crashes: vec![UpstreamCrash {
                     service: upstream.service,
                     upstream: upstream.id,
                     start: upstream.start,
--- a/crates/gateway/src/peer_client.rs
+++ b/crates/gateway/src/peer_client.rs
@@ -40,8 +40,8 @@
 /// Interval while no other instance is known, so that all listed instances get a
 /// heartbeat soon after the first read of the store.
 const INITIAL_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(50);
-/// Shortest pause between heartbeats, however many changes there are to tell: four times
-/// the usual rate at most while a fault lasts.
+/// Shortest pause between heartbeats, however many changes there are to report: four
+/// times the usual rate at most while a fault lasts.
 const MIN_HEARTBEAT_PAUSE: Duration = Duration::from_millis(100);
 /// Timeout for one part of another instance's packed records: many starting instances
 /// share its link.
@@ -61,7 +61,7 @@
         PeerClient { state }
     }
 
-    /// Sends heartbeats to the watched instances, forever.
+    /// Sends heartbeats to the monitored instances, forever.
     pub(crate) async fn send_heartbeats(self: Arc<Self>) {
         let mut first_owners: BTreeMap<Shard, SocketAddr> = BTreeMap::new();
         loop {
@@ -75,7 +75,7 @@
                 true => INITIAL_HEARTBEAT_INTERVAL,
                 false => HEARTBEAT_INTERVAL,
             };
-            for peer in self.watched(all) {
+            for peer in self.select_monitored(all) {
                 let peers = Arc::clone(&self);
                 let sending = async move { peers.send_heartbeat(&peer).await };
                 self.state.executor.spawn(sending).detach();
@@ -218,8 +218,8 @@
         Some(cluster.instances.entry(id)?.peer_address)
     }
 
-    /// Selects the instances to exchange heartbeats with, and marks them as watched.
-    fn watched(&self, mut all: Vec<InstanceEntry>) -> Vec<InstanceEntry> {
+    /// Selects the instances to exchange heartbeats with, and marks them as monitored.
+    fn select_monitored(&self, mut all: Vec<InstanceEntry>) -> Vec<InstanceEntry> {
         let shards = self.state.watched_shards();
         let source = self.state.news_source().instance();
         let ids = heartbeat_peers(&self.state.own_entry, &all, &shards, source);
--- a/crates/gateway/src/peer_quarantine.rs
+++ b/crates/gateway/src/peer_quarantine.rs
@@ -22,18 +22,18 @@
 /// An instance's report to the coordinators of the quarantine.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct RunReport {
-    pub(crate) ends: Vec<UpstreamCrash>,
+    pub(crate) crashes: Vec<UpstreamCrash>,
     pub(crate) completed_runs: Vec<CompletedRun>,
 }
 
 /// Encodes a report; times are given as their age at `now`.
 pub(crate) fn wire_report(report: &RunReport, now: MonoTime) -> CrashReport {
-    let ends = report.ends.iter().map(|end| WireEnd {
-        service: end.service.to_string(),
-        upstream: end.upstream.to_string(),
-        start_ms: end.start.millis().unwrap_or(0),
-        ended_ms_ago: millis(now.since(end.at)),
-        runs: end.runs.iter().map(|r| wire_run(r, now)).collect(),
+    let crashes = report.crashes.iter().map(|crash| WireEnd {
+        service: crash.service.to_string(),
+        upstream: crash.upstream.to_string(),
+        start_ms: crash.start.millis().unwrap_or(0),
+        ended_ms_ago: millis(now.since(crash.at)),
+        runs: crash.runs.iter().map(|r| wire_run(r, now)).collect(),
     });
     let completed_runs = report.completed_runs.iter().map(|run| WireCompletedRun {
         service: run.service.to_string(),
@@ -41,7 +41,7 @@
         ended_ms_ago: millis(now.since(run.at)),
     });
     CrashReport {
-        ends: ends.collect(),
+        ends: crashes.collect(),
         completed_runs: completed_runs.collect(),
     }
 }
@@ -60,7 +60,7 @@
         content: Content::from_number(run.content),
         began: ago(run.began_ms_ago),
     };
-    let ends = req.ends.into_iter().map(|end| UpstreamCrash {
+    let crashes = req.ends.into_iter().map(|end| UpstreamCrash {
         service: end.service.into(),
         upstream: end.upstream.into(),
         start: match end.start_ms {
@@ -76,7 +76,7 @@
         at: ago(run.ended_ms_ago),
     });
     RunReport {
-        ends: ends.collect(),
+        crashes: crashes.collect(),
         completed_runs: completed_runs.collect(),
     }
 }
--- a/crates/gateway/src/quarantine_coordinator.rs
+++ b/crates/gateway/src/quarantine_coordinator.rs
@@ -66,8 +66,8 @@
         let state = &self.link.state;
         let now = state.now();
         let mut evidence = lock(&self.evidence);
-        for end in report.ends {
-            evidence.record_crash(now, end);
+        for crash in report.crashes {
+            evidence.record_crash(now, crash);
         }
         let mut cleared = Vec::new();
         for run in report.completed_runs {
--- a/crates/gateway/src/store_applier.rs
+++ b/crates/gateway/src/store_applier.rs
@@ -78,12 +78,12 @@
 impl StoreApplier {
     /// Applies an update; false if it is older than the current state, or if it holds
     /// changes of an era whose records have not been read here.
-    pub(crate) fn apply(&self, news: StoreUpdate) -> bool {
+    pub(crate) fn apply(&self, update: StoreUpdate) -> bool {
         let StoreUpdate {
             is_full: whole,
             items,
             revision,
-        } = news;
+        } = update;
         let known = self.state.cluster().mirror.revision();
         match whole {
             true if revision < known => {
--- a/crates/gateway/src/store_lease.rs
+++ b/crates/gateway/src/store_lease.rs
@@ -19,7 +19,7 @@
 /// Interval between checks for instances that do not answer.
 const CHECK_INTERVAL: Duration = Duration::from_millis(300);
 /// Probability, in percent, that a check removes such an instance: of the few instances
-/// that watch it, the first to remove its entry spares the others the call.
+/// that monitor it, the first to remove its entry spares the others the call.
 const REMOVE_PERCENT: u32 = 35;
 
 /// This instance's lease and entry in the store.
@@ -31,7 +31,7 @@
 }
 
 /// Keeps this instance's entry in the store, under a long lease. If the instance stops
-/// answering, those that watch it remove the entry long before the lease expires.
+/// answering, those that monitor it remove the entry long before the lease expires.
 #[derive(Debug)]
 pub(crate) struct StoreLease {
     pub(crate) link: Arc<StoreLink>,
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Removes the entries of watched instances that do not answer, forever.
+    /// Removes the entries of monitored instances that do not answer, forever.
     ///
     /// Covers machines that lose power: their entries stayed until the leases expired,
     /// and callers were given their addresses. Leases short enough to prevent that were a
