--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One send to one upstream.
+//! One attempt at a request on one upstream.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,15 +24,16 @@
 use crate::upstream_client::Withheld;
 use crate::upstream_table::SelectedUpstream;
 
-/// How long an answer that was sent before its upstream ended may be on its way:
+/// How long a response that an upstream sent before its process ended may be in transit:
 /// several round trips between availability zones.
-const LAST_ANSWERS_WITHIN: Duration = Duration::from_millis(50);
+const LAST_RESPONSE_DELAY: Duration = Duration::from_millis(50);
 
-/// An upstream that has gone on with an answer for so long does not end by having begun
-/// it. At 23 of 25 ends in the logs, counted by hand, an answer had begun 122 ms before at most.
-const WELL_BEGUN_AFTER: Duration = Duration::from_secs(2);
+/// After this time since the first part of the response, a crash of the upstream is not held
+/// against the request. In 23 of 25 crashes in the logs, a response had begun at most 122 ms
+/// before.
+const SAFE_AFTER: Duration = Duration::from_secs(2);
 
-/// The answer of an upstream, its body still coming in.
+/// The response of an upstream, whose body is not read yet.
 #[derive(Debug)]
 pub(crate) struct UpstreamResponse {
     pub(crate) head: ResponseHead,
@@ -40,7 +41,7 @@
     pub(crate) attempt: ActiveAttempt,
 }
 
-/// An attempt that is not over. Dropping it counts as cancelled.
+/// An attempt in progress. Dropping it counts as cancelled.
 #[derive(Debug)]
 pub(crate) struct ActiveAttempt {
     state: Arc<State>,
@@ -48,7 +49,7 @@
     service: CompactString,
     content: Content,
     began: MonoTime,
-    /// When the first part of its answer came.
+    /// When the first part of the response body arrived.
     first_part: Option<MonoTime>,
     completed: bool,
     over: bool,
@@ -73,7 +74,8 @@
         }
     }
 
-    /// Its upstream has given its whole answer, so that the request does not end it.
+    /// Records that the upstream sent its whole response, so that the request is not
+    /// suspected of crashing upstreams.
     pub(crate) fn mark_completed(&mut self) {
         if !std::mem::replace(&mut self.completed, true) {
             let now = self.state.now();
@@ -82,17 +84,17 @@
         }
     }
 
-    /// A part of its answer came.
+    /// Records that a part of the response body arrived.
     pub(crate) fn record_progress(&mut self) {
         let now = self.state.now();
         let first = *self.first_part.get_or_insert(now);
-        if now.since(first) >= WELL_BEGUN_AFTER {
+        if now.since(first) >= SAFE_AFTER {
             self.mark_completed();
         }
     }
 
-    /// Its connection broke. Where its upstream had worked on the request for long it did
-    /// not end by that.
+    /// Records that the connection broke. Ignored once the attempt counts as completed, since
+    /// the upstream then did not crash because of the request.
     pub(crate) fn report_broken(&mut self) {
         if !self.completed {
             let upstream = self.chosen.upstream_ref(&self.service);
@@ -101,7 +103,7 @@
         }
     }
 
-    /// How long after the request had come it was sent, in milliseconds.
+    /// The time from the arrival of the request to this attempt, in milliseconds.
     pub(crate) fn sent_ms(&self, request: &CallerRequest) -> u64 {
         self.began.since(request.arrived).as_millis() as u64
     }
@@ -110,12 +112,11 @@
         &self.chosen.id
     }
 
-    /// Returns a moment after the upstream is known to have started again: what
-    /// waits for the earlier start waits in vain, but an answer that it had sent may
-    /// still be on its way.
+    /// Returns shortly after the upstream is known to have restarted. The response of the
+    /// earlier start will not come any more, unless it was sent before and is in transit.
     pub(crate) async fn until_restarted(&self) {
         self.chosen.restarted.wait().await;
-        Timer::after(LAST_ANSWERS_WITHIN).await;
+        Timer::after(LAST_RESPONSE_DELAY).await;
     }
 
     pub(crate) fn finish(&mut self, outcome: AttemptOutcome) {
@@ -126,10 +127,10 @@
         let took = now.since(self.began);
         self.chosen.upstream.finished(now, took, outcome);
         if outcome == AttemptOutcome::Unreachable {
-            // It is looked for again when it is no longer left alone, and may have
-            // started just before.
-            let looked_for = self.chosen.upstream.ejected_until();
-            lock(&self.chosen.cold).may_have_started(looked_for);
+            // The upstream is tried again when its ejection ends, and may have started just
+            // before.
+            let retried_at = self.chosen.upstream.ejected_until();
+            lock(&self.chosen.cold).may_have_started(retried_at);
         }
         self.state.metrics.attempt(outcome.as_str());
     }
@@ -141,14 +142,14 @@
     }
 }
 
-/// How a send ended that brought no answer for the caller.
+/// How an attempt ended that brought no response for the caller.
 #[derive(Debug)]
 pub(crate) struct AttemptFailure {
     pub(crate) outcome: AttemptOutcome,
     pub(crate) detail: CompactString,
-    /// True if results that the request works on are gone.
+    /// True if stage results that the request reads are gone.
     pub(crate) inputs_gone: bool,
-    /// True if it was not sent at all, since it may not be.
+    /// True if a check of this instance kept the request from being sent.
     pub(crate) withheld: bool,
 }
 
@@ -161,7 +162,7 @@
     }
 }
 
-/// Nothing was sent, and nothing is held against the upstream for it.
+/// The failure of an attempt that was not sent. It does not count against the upstream.
 fn withheld(request: &CallerRequest, upstream: &str, why: Withheld) -> AttemptFailure {
     log::info!(
         request = request.id(),
@@ -176,7 +177,7 @@
     }
 }
 
-/// Leave to send `call` to `chosen`.
+/// Requests permission to send `request` to `chosen`.
 pub(crate) async fn request_permit(
     state: &State,
     request: &CallerRequest,
@@ -192,18 +193,17 @@
     permit.map_err(|why| withheld(request, &chosen.id, why))
 }
 
-/// Sends `call` to `chosen` and waits at most `patience` for the answer's head.
-/// What comes back is the upstream's own answer to this very request, or a
-/// failure that says what it proves. `written` is called once a connection
-/// takes the request.
+/// Sends `request` to `chosen` and waits at most `timeout` for the head of the response.
+/// Returns the upstream's own response to this request, or a failure whose outcome tells
+/// whether the request may have run. `on_write` is called once a connection takes the request.
 pub(crate) async fn send(
     state: &Arc<State>,
     request: &CallerRequest,
     (chosen, permit): (SelectedUpstream, SendPermit),
     inputs: &[CompactString],
     last_event: Option<u64>,
-    patience: Duration,
-    written: impl Fn(),
+    timeout: Duration,
+    on_write: impl Fn(),
 ) -> Result<UpstreamResponse, AttemptFailure> {
     let id = chosen.id.clone();
     let mut attempt = ActiveAttempt::begin(state, request, chosen);
@@ -219,16 +219,16 @@
     let req = state
         .dialect
         .upstream_request(&request.parts, &upstream_request, body);
-    let over = async {
+    let restarted = async {
         attempt.until_restarted().await;
         Err(SendFailure::ConnectionLost)
     };
     let sending = state
         .upstream_client
-        .send(state, permit, req, patience, written);
-    let sent = sending.or(over).await;
+        .send(state, permit, req, timeout, on_write);
+    let sent = sending.or(restarted).await;
     let result = match sent {
-        Ok(response) => judge(state, request, response),
+        Ok(response) => validate(state, request, response),
         Err(SendFailure::Withheld(why)) => {
             attempt.finish(AttemptOutcome::Cancelled);
             return Err(withheld(request, &id, why));
@@ -250,7 +250,7 @@
             attempt,
         }),
         Err(failure) => {
-            // Results that are gone say nothing of the upstream that was to read them.
+            // Missing results are not the fault of the upstream that was to read them.
             attempt.finish(match failure.inputs_gone {
                 true => AttemptOutcome::Cancelled,
                 false => failure.outcome,
@@ -269,9 +269,9 @@
     }
 }
 
-/// An answer counts only if it names the request that waits; an extra or late
-/// one of another request looks like an answer and belongs to nobody here.
-fn judge(
+/// Accepts a response only if it names this request: a duplicate or late response to another
+/// request can arrive on the same connection.
+fn validate(
     state: &State,
     request: &CallerRequest,
     response: HttpResponse,
@@ -279,7 +279,7 @@
     let head = state
         .dialect
         .response_head(response.status, &response.headers);
-    let named = head.request_id.as_deref() == request.head.request_id.as_deref();
+    let names_request = head.request_id.as_deref() == request.head.request_id.as_deref();
     let misdirected = head.status == StatusCode::MISDIRECTED_REQUEST;
     match head {
         _ if misdirected => Err(failure(
@@ -292,7 +292,7 @@
             inputs_gone: head.status == StatusCode::CONFLICT,
             withheld: false,
         }),
-        _ if !named => Err(failure(
+        _ if !names_request => Err(failure(
             AttemptOutcome::Crossed,
             "the answer names another request",
         )),
--- a/crates/gateway/src/batch_dispatcher.rs
+++ b/crates/gateway/src/batch_dispatcher.rs
@@ -1,4 +1,4 @@
-//! Filling batches of pieces, on the instance that owns them.
+//! Schedules stage pieces into batches and sends them, on the instance that owns the shard.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -34,38 +34,39 @@
 use crate::upstream_client::Withheld;
 use crate::upstream_table::UpstreamTable;
 
-/// How often waiting pieces are looked at without any event: for upstreams
-/// that were left alone for a while and for jobs whose time is over.
+/// How often waiting pieces are scheduled without an event: for upstreams whose backoff
+/// has ended and for jobs whose deadline has passed.
 const TICK: Duration = Duration::from_millis(30);
-/// Ticks from one look at who owns a shard to the next.
-const TICKS_PER_LOOK: u32 = 4;
-/// How long an upstream may take to tell its room: several round trips between
-/// availability zones.
-const ROOM_WITHIN: Duration = Duration::from_millis(80);
-/// The largest answer to a call for pieces, in bytes.
-const MAX_ANSWER: usize = 1 << 20;
+/// How many ticks pass between two checks of shard ownership.
+const TICKS_PER_OWNERSHIP_CHECK: u32 = 4;
+/// The timeout of a query for free result storage: several round trips between availability
+/// zones.
+const STORAGE_QUERY_TIMEOUT: Duration = Duration::from_millis(80);
+/// The largest response to a batch, in bytes.
+const MAX_RESPONSE: usize = 1 << 20;
 
 type JobOutcome = Result<Vec<CompactString>, JobFailure>;
 
 #[derive(Debug, Default)]
-struct Desk {
-    desk: StageDesk,
+struct ShardScheduler {
+    scheduler: StageDesk,
     waiters: HashMap<JobKey, Sender<JobOutcome>>,
     table: Option<Arc<UpstreamTable>>,
-    /// True while this instance is the one that is asked first.
+    /// True while this instance is the first owner of the shard.
     owned: bool,
 }
 
-/// Fills batches: the desk's decisions, carried out.
+/// Sends the batches that the schedulers of the shards form, and passes results on to the
+/// jobs that wait for them.
 #[derive(Debug)]
 pub(crate) struct BatchDispatcher {
     state: Arc<State>,
     free_queue: Arc<ResultFreeQueue>,
-    /// One desk for each part of the upstreams that this instance works on.
-    desks: Mutex<BTreeMap<Shard, Desk>>,
+    /// One scheduler for each shard that this instance runs jobs on.
+    schedulers: Mutex<BTreeMap<Shard, ShardScheduler>>,
 }
 
-/// Cancels a job when its caller does not wait any more.
+/// Cancels a job when its caller stops waiting.
 struct JobGuard {
     dispatcher: Arc<BatchDispatcher>,
     shard: Shard,
@@ -74,11 +75,11 @@
 
 impl Drop for JobGuard {
     fn drop(&mut self) {
-        let mut desks = lock(&self.dispatcher.desks);
-        if let Some(desk) = desks.get_mut(&self.shard)
-            && desk.waiters.remove(&self.key).is_some()
+        let mut schedulers = lock(&self.dispatcher.schedulers);
+        if let Some(entry) = schedulers.get_mut(&self.shard)
+            && entry.waiters.remove(&self.key).is_some()
         {
-            desk.desk.cancel(self.key);
+            entry.scheduler.cancel(self.key);
         }
     }
 }
@@ -88,28 +89,30 @@
         BatchDispatcher {
             state,
             free_queue,
-            desks: Mutex::default(),
+            schedulers: Mutex::default(),
         }
     }
 
-    /// Does the stages of a request on one part of the upstreams. Dropping the
-    /// future cancels them.
+    /// Runs the stages of a request on the upstreams of a shard. Dropping the future cancels
+    /// the job.
     pub(crate) async fn run(self: &Arc<Self>, shard: Shard, job: StageJob) -> JobOutcome {
         self.state.mark_shard_used(&shard);
         let (tx, rx) = async_channel::bounded(1);
         let key = {
             let now = self.state.now();
-            let mut desks = lock(&self.desks);
-            let desk = desks.entry(shard.clone()).or_insert_with(|| Desk {
-                owned: self.state.owns(&shard),
-                ..Desk::default()
-            });
-            self.follow_upstreams(&shard, desk);
+            let mut schedulers = lock(&self.schedulers);
+            let entry = schedulers
+                .entry(shard.clone())
+                .or_insert_with(|| ShardScheduler {
+                    owned: self.state.owns(&shard),
+                    ..ShardScheduler::default()
+                });
+            self.update_upstreams(&shard, entry);
             if let Some(left) = self.state.quarantine.left(now, job.content) {
                 return Err(JobFailure::Quarantined(left));
             }
-            let key = desk.desk.submit(now, job)?;
-            desk.waiters.insert(key, tx);
+            let key = entry.scheduler.submit(now, job)?;
+            entry.waiters.insert(key, tx);
             key
         };
         let _guard = JobGuard {
@@ -117,128 +120,136 @@
             shard: shard.clone(),
             key,
         };
-        self.pump(&shard);
-        // Fails only if the desk was dropped with the process.
+        self.schedule(&shard);
+        // Fails only if the scheduler was dropped with the process.
         rx.recv().await.unwrap_or(Err(JobFailure::PieceFailed))
     }
 
-    /// Nobody works on these results any more.
+    /// Releases results that no request needs any more.
     pub(crate) fn release(self: &Arc<Self>, handles: Vec<CompactString>) {
-        let mut desks = lock(&self.desks);
+        let mut schedulers = lock(&self.schedulers);
         let mut unknown = Vec::new();
         for handle in handles {
-            match desks.values_mut().find(|d| d.desk.holds(&handle)) {
-                Some(desk) => desk.desk.release(vec![handle]),
+            match schedulers
+                .values_mut()
+                .find(|entry| entry.scheduler.holds(&handle))
+            {
+                Some(entry) => entry.scheduler.release(vec![handle]),
                 None => unknown.push(handle),
             }
         }
-        drop(desks);
+        drop(schedulers);
         self.free_queue.add(unknown);
-        self.pump_all();
+        self.schedule_waiting();
     }
 
-    /// How long pieces wait at each shard that this instance works on.
+    /// How long pieces wait in each shard that this instance runs jobs on.
     pub(crate) fn backlogs(&self) -> Vec<(Shard, Duration)> {
         let now = self.state.now();
-        let desks = lock(&self.desks);
-        let all = desks.iter();
-        all.map(|(shard, d)| (shard.clone(), d.desk.backlog(now)))
+        let schedulers = lock(&self.schedulers);
+        let all = schedulers.iter();
+        all.map(|(shard, entry)| (shard.clone(), entry.scheduler.backlog(now)))
             .collect()
     }
 
-    /// Looks at waiting pieces for good.
-    pub(crate) async fn tick(self: Arc<Self>) {
+    /// Schedules waiting pieces on every tick. Never returns.
+    pub(crate) async fn run_ticks(self: Arc<Self>) {
         let mut ticks: u32 = 0;
         loop {
             Timer::after(TICK).await;
             ticks = ticks.wrapping_add(1);
-            if ticks.is_multiple_of(TICKS_PER_LOOK) {
-                self.hand_over();
+            if ticks.is_multiple_of(TICKS_PER_OWNERSHIP_CHECK) {
+                self.update_ownership();
             }
-            self.pump_all();
+            self.schedule_waiting();
         }
     }
 
-    /// Hands over what waits at desks that this instance owns no more.
-    fn hand_over(&self) {
-        let mut desks = lock(&self.desks);
-        for (shard, desk) in desks.iter_mut() {
+    /// Hands over the waiting jobs of shards that this instance no longer owns, and takes
+    /// shards over that it has come to own.
+    fn update_ownership(&self) {
+        let mut schedulers = lock(&self.schedulers);
+        for (shard, entry) in schedulers.iter_mut() {
             let owns = self.state.owns(shard);
-            match (std::mem::replace(&mut desk.owned, owns), owns) {
+            match (std::mem::replace(&mut entry.owned, owns), owns) {
                 (true, false) => {
-                    log::info!(shard:? = shard; "stages are done elsewhere now");
-                    desk.desk.hand_over();
+                    log::info!(shard:? = shard; "shard is owned by another instance now");
+                    entry.scheduler.hand_over();
                 }
                 (false, true) => {
-                    log::info!(shard:? = shard; "stages are done here now");
-                    desk.desk.take_over();
+                    log::info!(shard:? = shard; "shard is owned by this instance now");
+                    entry.scheduler.take_over();
                 }
                 (true, true) | (false, false) => {}
             }
         }
     }
 
-    /// Looks at all desks where time alone may bring something to decide.
-    fn pump_all(self: &Arc<Self>) {
+    /// Schedules all shards in which pieces wait.
+    fn schedule_waiting(self: &Arc<Self>) {
         let waiting: Vec<Shard> = {
-            let desks = lock(&self.desks);
-            let waiting = desks.iter().filter(|(_, d)| d.desk.is_waiting());
+            let schedulers = lock(&self.schedulers);
+            let waiting = schedulers
+                .iter()
+                .filter(|(_, entry)| entry.scheduler.is_waiting());
             waiting.map(|(shard, _)| shard.clone()).collect()
         };
         for shard in waiting {
-            self.pump(&shard);
+            self.schedule(&shard);
         }
     }
 
-    /// Carries out everything that a desk decides now.
-    fn pump(self: &Arc<Self>, shard: &Shard) {
+    /// Expires jobs of a shard, sends the batches and storage queries that are due, and
+    /// delivers finished jobs.
+    fn schedule(self: &Arc<Self>, shard: &Shard) {
         let now = self.state.now();
-        let mut desks = lock(&self.desks);
-        let Some(desk) = desks.get_mut(shard) else {
+        let mut schedulers = lock(&self.schedulers);
+        let Some(entry) = schedulers.get_mut(shard) else {
             return;
         };
-        self.follow_upstreams(shard, desk);
+        self.update_upstreams(shard, entry);
         let quarantine = &self.state.quarantine;
-        desk.desk
+        entry
+            .scheduler
             .quarantine(|content| quarantine.left(now, content));
-        desk.desk.expire(now);
-        for question in desk.desk.room_questions(now) {
-            let asking = Arc::clone(self).ask_room(shard.clone(), question);
-            self.state.executor.spawn(asking).detach();
+        entry.scheduler.expire(now);
+        for question in entry.scheduler.room_questions(now) {
+            let query = Arc::clone(self).query_storage(shard.clone(), question);
+            self.state.executor.spawn(query).detach();
         }
-        while let Some(call) = desk.desk.next_call(now) {
+        while let Some(call) = entry.scheduler.next_call(now) {
             let dispatcher = Arc::clone(self);
             self.state
                 .executor
-                .spawn(dispatcher.make(shard.clone(), call))
+                .spawn(dispatcher.run_batch(shard.clone(), call))
                 .detach();
         }
-        for end in desk.desk.take_ended() {
-            if let Some(tx) = desk.waiters.remove(&end.key) {
-                // Fails only if nobody waits any more.
+        for end in entry.scheduler.take_ended() {
+            if let Some(tx) = entry.waiters.remove(&end.key) {
+                // Fails only if the caller stopped waiting.
                 let _ = tx.try_send(end.outcome);
             }
         }
-        self.free_queue.add(desk.desk.take_unused());
+        self.free_queue.add(entry.scheduler.take_unused());
     }
 
-    /// Asks an upstream how much room it has.
-    async fn ask_room(self: Arc<Self>, shard: Shard, question: RoomQuestion) {
-        let told = self.room_told(&question).await;
+    /// Queries an upstream for its free result storage.
+    async fn query_storage(self: Arc<Self>, shard: Shard, question: RoomQuestion) {
+        let told = self.storage_report(&question).await;
         log::info!(
             service = question.service.as_str(),
             upstream = question.upstream.as_str(),
             free:? = told.map(|t| t.free);
-            "room asked"
+            "storage queried"
         );
-        if let Some(desk) = lock(&self.desks).get_mut(&shard) {
+        if let Some(entry) = lock(&self.schedulers).get_mut(&shard) {
             let now = self.state.now();
-            desk.desk.told_room(now, &question, told);
+            entry.scheduler.told_room(now, &question, told);
         }
-        self.pump(&shard);
+        self.schedule(&shard);
     }
 
-    async fn room_told(&self, question: &RoomQuestion) -> Option<RoomReport> {
+    async fn storage_report(&self, question: &RoomQuestion) -> Option<RoomReport> {
         let (state, dialect) = (&self.state, &self.state.dialect);
         let upstream = UpstreamRef {
             service: question.service.clone(),
@@ -251,22 +262,23 @@
             .permit(state, upstream, SendPurpose::Maintenance)
             .await;
         let req = dialect.storage_request(&question.upstream);
-        let sending = state
-            .upstream_client
-            .send(state, permit.ok()?, req, ROOM_WITHIN, || {});
+        let sending =
+            state
+                .upstream_client
+                .send(state, permit.ok()?, req, STORAGE_QUERY_TIMEOUT, || {});
         let response = sending.await.ok()?;
         if !response.status.is_success() {
             return None;
         }
-        let body = within(ROOM_WITHIN, response.whole(MAX_ANSWER)).await?;
+        let body = within(STORAGE_QUERY_TIMEOUT, response.whole(MAX_RESPONSE)).await?;
         dialect.storage_report(&body.ok()?)
     }
 
-    async fn make(self: Arc<Self>, shard: Shard, call: BatchCall) {
+    async fn run_batch(self: Arc<Self>, shard: Shard, call: BatchCall) {
         let began = self.state.now();
-        let result = self.ask(&call).await;
+        let result = self.send_batch(&call).await;
         let now = self.state.now();
-        self.note_runs(&call, &result, began);
+        self.record_runs(&call, &result, began);
         log::info!(
             service = call.service.as_str(),
             upstream = call.upstream.as_str(),
@@ -274,18 +286,19 @@
             waiting = call.waiting,
             room_used = call.room_used,
             far_bytes = call.far_bytes,
-            outcome = outcome_of(&result).as_str(),
+            outcome = outcome_text(&result).as_str(),
             ms = now.since(began).as_millis() as u64;
             "call for pieces"
         );
-        if let Some(desk) = lock(&self.desks).get_mut(&shard) {
-            desk.desk.finish(now, call.key, result);
+        if let Some(entry) = lock(&self.schedulers).get_mut(&shard) {
+            entry.scheduler.finish(now, call.key, result);
         }
-        self.pump(&shard);
+        self.schedule(&shard);
     }
 
-    /// What a call says of the requests whose pieces it held.
-    fn note_runs(&self, call: &BatchCall, result: &CallResult, began: MonoTime) {
+    /// Records for the quarantine whether the requests whose pieces were in a batch ran to
+    /// the end or lost the connection.
+    fn record_runs(&self, call: &BatchCall, result: &CallResult, began: MonoTime) {
         let quarantine = &self.state.quarantine;
         let now = self.state.now();
         let contents: BTreeSet<Content> = call.pieces.iter().map(|p| p.content).collect();
@@ -294,7 +307,7 @@
                 CallResult::Answered(_) => quarantine.note_ran(now, &call.service, content),
                 CallResult::Broken => {
                     self.state
-                        .report_broken_run(upstream_of(call), content, began)
+                        .report_broken_run(upstream_ref(call), content, began)
                 }
                 CallResult::Full
                 | CallResult::Withheld(_)
@@ -304,16 +317,17 @@
         }
     }
 
-    async fn ask(&self, call: &BatchCall) -> CallResult {
+    async fn send_batch(&self, call: &BatchCall) -> CallResult {
         let (state, dialect) = (&self.state, &self.state.dialect);
         let permit = state
             .upstream_client
-            .permit(state, upstream_of(call), SendPurpose::Pieces);
+            .permit(state, upstream_ref(call), SendPurpose::Pieces);
         let permit = match permit.await {
             Ok(permit) => permit,
-            Err(why) => return withheld(why),
+            Err(why) => return withheld_result(why),
         };
-        // Room that the desk counts as free has to be free when the call comes.
+        // The scheduler counts storage as free once its release is queued; it has to be
+        // free when the batch arrives.
         self.free_queue.flush(call.address).await;
         let req = dialect.stage_request(&call.upstream, &call.pieces);
         let sent = state
@@ -321,7 +335,7 @@
             .send(state, permit, req, call.patience, || {});
         let response = match sent.await {
             Ok(response) => response,
-            Err(SendFailure::Withheld(why)) => return withheld(why),
+            Err(SendFailure::Withheld(why)) => return withheld_result(why),
             Err(SendFailure::ConnectFailed) => return CallResult::Gone,
             Err(SendFailure::ConnectionLost) => return CallResult::Broken,
             Err(SendFailure::TimedOut) => return CallResult::Failed,
@@ -329,10 +343,10 @@
         let head = dialect.response_head(response.status, &response.headers);
         match head.status {
             http::StatusCode::MISDIRECTED_REQUEST => return CallResult::Gone,
-            status if head.not_run || !status.is_success() => return self.refused(call),
+            status if head.not_run || !status.is_success() => return self.refused_result(call),
             _ => {}
         }
-        match within(call.patience, response.whole(MAX_ANSWER)).await {
+        match within(call.patience, response.whole(MAX_RESPONSE)).await {
             Some(Ok(body)) => match dialect.stage_results(&body, call.pieces.len()) {
                 Some(results) => CallResult::Answered(results),
                 None => CallResult::Failed,
@@ -342,9 +356,9 @@
         }
     }
 
-    /// What a refused call says: that its upstream was full, and maybe for how long it
-    /// wants nothing more.
-    fn refused(&self, call: &BatchCall) -> CallResult {
+    /// The result of a refused batch: a backoff if the upstream asked for one, or else that
+    /// the upstream was full.
+    fn refused_result(&self, call: &BatchCall) -> CallResult {
         let state = &self.state;
         let (now, backoffs) = (state.now(), &state.backoffs);
         match backoffs.backoff(now, call.address, &call.upstream, call.start) {
@@ -353,9 +367,9 @@
         }
     }
 
-    fn follow_upstreams(&self, shard: &Shard, desk: &mut Desk) {
+    fn update_upstreams(&self, shard: &Shard, entry: &mut ShardScheduler) {
         let table = self.state.upstreams.load_full();
-        let known = desk.table.as_ref();
+        let known = entry.table.as_ref();
         if known.is_some_and(|t| Arc::ptr_eq(t, &table)) {
             return;
         }
@@ -368,21 +382,21 @@
                 let all = table.upstreams(&service.name);
                 let own = shard.of_service(all, |u| &u.zone);
                 let now = self.state.now();
-                desk.desk.set_upstreams(now, &service.name, spec, own);
+                entry.scheduler.set_upstreams(now, &service.name, spec, own);
             }
         }
-        desk.table = Some(table);
+        entry.table = Some(table);
     }
 }
 
-fn withheld(why: Withheld) -> CallResult {
+fn withheld_result(why: Withheld) -> CallResult {
     match why.retry_after {
         Some(wait) => CallResult::Withheld(wait),
         None => CallResult::Gone,
     }
 }
 
-fn upstream_of(call: &BatchCall) -> UpstreamRef {
+fn upstream_ref(call: &BatchCall) -> UpstreamRef {
     UpstreamRef {
         service: call.service.clone(),
         id: call.upstream.clone(),
@@ -391,8 +405,8 @@
     }
 }
 
-/// What came of a call, for its log line: how many pieces ended how.
-fn outcome_of(result: &CallResult) -> CompactString {
+/// The outcome of a batch for its log line: how many pieces ended in which way.
+fn outcome_text(result: &CallResult) -> CompactString {
     let results = match result {
         CallResult::Answered(results) => results,
         other => return format_compact!("{other:?}"),
--- a/crates/gateway/src/caller_api.rs
+++ b/crates/gateway/src/caller_api.rs
@@ -1,4 +1,4 @@
-//! Where callers' requests come in.
+//! The endpoint for callers' requests.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -38,17 +38,17 @@
 use crate::streaming_call;
 use crate::unary_call;
 
-/// When to come back to an instance that does not know what is in force. One
-/// that has just started knows within a second; the users' callers come back
-/// once, and sooner they would be refused for good.
-const UNPROVEN_PAUSE: Duration = Duration::from_millis(1_000);
-/// How long a request waits for this process's first reading of the store, which
-/// takes about 20 ms. An eighth of the shortest objectives of prompts.
-const FIRST_READ_WAIT: Duration = Duration::from_millis(80);
-/// How long a request's body may take to arrive.
-const BODY_WITHIN: Duration = Duration::from_secs(10);
+/// The retry time of a request that this instance refuses because its configuration is
+/// missing or not proven current. An instance that has just started has it within a second.
+/// Callers retry once, so that an earlier retry would end in a final failure.
+const UNPROVEN_RETRY: Duration = Duration::from_millis(1_000);
+/// How long a request waits for the first read of the store after a start, which takes about
+/// 20 ms. This is an eighth of the shortest objective of prompts.
+const FIRST_READ_TIMEOUT: Duration = Duration::from_millis(80);
+/// How long the body of a request may take to arrive.
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Answers callers.
+/// Handles the requests of callers.
 #[derive(Debug)]
 pub(crate) struct CallerApi {
     pub(crate) state: Arc<State>,
@@ -101,9 +101,9 @@
         }
     }
 
-    /// Reads the request and decides whether it may run. The body is read
-    /// before any refusal: a connection closed over unread bytes is reset, and
-    /// the caller would not see the refusal.
+    /// Reads the request and decides whether it may run. The body is read before any refusal:
+    /// closing a connection with unread bytes resets it, and the caller would not receive the
+    /// refusal.
     async fn admit(
         &self,
         arrived: MonoTime,
@@ -116,14 +116,14 @@
         let limits = router.as_ref().map(|r| r.limits).unwrap_or_default();
         let body = read_body(body, limits.body_bytes).await?;
         if router.is_none() {
-            self.first_read().await;
+            self.wait_for_first_read().await;
         }
-        // What came into force while the body was read counts.
+        // Use the configuration that is in force after the body was read.
         let router = self.state.router.load_full();
         let router = router.ok_or_else(|| unproven("no configuration is known here yet"))?;
         let route = self.find_route(&router, &parts)?;
         let spec = router.route(route);
-        let caller = caller_of(&router, spec, &head)?;
+        let caller = authenticate(&router, spec, &head)?;
         let wait = head.deadline.unwrap_or(spec.timeout).min(spec.timeout);
         let seed = head.prompt.as_ref().map(Prompt::session);
         let service = spec.target(seed.unwrap_or_else(|| fastrand::u64(..)));
@@ -148,13 +148,13 @@
         })
     }
 
-    /// Returns once something is known here, or after a short while.
+    /// Waits for the first configuration, at most [`FIRST_READ_TIMEOUT`].
     ///
-    /// The load that it answers: after a loss of all instances their callers ask
-    /// again in the moment in which they start. Refused and told to come back in a
-    /// second, one in ten of that second's requests was late that need not be.
-    async fn first_read(&self) {
-        let until = self.state.now() + FIRST_READ_WAIT;
+    /// After a failure of all instances, callers retry at the moment at which the instances
+    /// start. When these requests were refused with a retry time of a second, one in ten of
+    /// that second's requests was late without need.
+    async fn wait_for_first_read(&self) {
+        let until = self.state.now() + FIRST_READ_TIMEOUT;
         let read = async {
             while self.state.router.load().is_none() {
                 let changes = self.state.changes.listen();
@@ -163,18 +163,19 @@
                 }
             }
         };
-        let left = until.since(self.state.now());
-        if within(left, read).await.is_none() {
-            log::info!("nothing is known here yet; requests are refused");
+        let timeout = until.since(self.state.now());
+        if within(timeout, read).await.is_none() {
+            log::info!("no configuration read yet; requests are refused");
         }
     }
 
-    /// The route of a request, if what is known here may be acted on.
+    /// The route of a request, if the configuration here is proven recent enough or the route
+    /// needs no credential.
     ///
-    /// A credential may have been taken away, and an unknown one or an unknown
-    /// route may have been added, since this was last proven to be in force.
-    /// What was proven when the request came may be acted on for as long as the
-    /// request lasts: its caller had sent it by then.
+    /// A credential may have been revoked, and a credential or route that is unknown here may
+    /// have been added, since the configuration was last proven to be in force. A
+    /// configuration that was proven when the request arrived is valid for the whole request,
+    /// since the caller had sent it by then.
     fn find_route(&self, router: &Router, parts: &Parts) -> Result<RouteKey, Refusal> {
         let host = host_of(parts);
         let route = router.find(host, parts.uri.path());
@@ -199,7 +200,7 @@
         self.state.metrics.request(refusal.kind.as_str(), took);
         let proof_ms = self.state.proof_age().map(|a| a.as_millis() as u64);
         let config = self.state.router.load().as_ref().map(|r| r.version);
-        // Empty where it was refused before it was read.
+        // Empty for a request that was refused before its body was read.
         let content = content.map(|c| c.to_string()).unwrap_or_default();
         log::info!(
             request = id,
@@ -216,7 +217,7 @@
     }
 }
 
-/// What a request is: where it goes, whose it is and what it says.
+/// The content of a request: its host, method, target, customer and body.
 fn content_of(parts: &Parts, customer: Option<&str>, body: &[u8]) -> Content {
     let target = parts.uri.path_and_query().map_or("", |t| t.as_str());
     Content::of(&[
@@ -228,8 +229,8 @@
     ])
 }
 
-/// Who calls; none where nobody has to show a credential.
-fn caller_of<'a>(
+/// The caller of a request; none if the route needs no credential.
+fn authenticate<'a>(
     router: &'a Router,
     route: &Route,
     head: &CallHead,
@@ -246,7 +247,7 @@
 }
 
 async fn read_body(body: Incoming, limit: usize) -> Result<Bytes, Refusal> {
-    match within(BODY_WITHIN, read_bounded(body, limit)).await {
+    match within(BODY_TIMEOUT, read_bounded(body, limit)).await {
         Some(Ok(body)) => Ok(body),
         Some(Err(e @ BodyReadError::TooLarge { .. })) => {
             Err(Refusal::not_run(RefusalKind::TooLarge, e.to_string()))
@@ -268,10 +269,10 @@
 }
 
 fn unproven(detail: &'static str) -> Refusal {
-    Refusal::not_run(RefusalKind::NotServing, detail).after(UNPROVEN_PAUSE)
+    Refusal::not_run(RefusalKind::NotServing, detail).after(UNPROVEN_RETRY)
 }
 
-/// A refusal after something was sent: nobody can tell whether it ran.
+/// The refusal of a request that was sent to an upstream and may have run.
 pub(crate) fn may_have_run(kind: RefusalKind, detail: impl Into<CompactString>) -> Refusal {
     Refusal {
         kind,
--- a/crates/gateway/src/caller_request.rs
+++ b/crates/gateway/src/caller_request.rs
@@ -1,4 +1,4 @@
-//! One request of a caller, admitted.
+//! An admitted request of a caller.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,7 +19,7 @@
 use crate::state::InFlight;
 use crate::state::State;
 
-/// One request of a caller, admitted and read whole.
+/// An admitted request of a caller, with its complete body.
 #[derive(Debug)]
 pub(crate) struct CallerRequest {
     pub(crate) router: Arc<Router>,
@@ -32,9 +32,9 @@
     pub(crate) head: CallHead,
     pub(crate) parts: Parts,
     pub(crate) body: Bytes,
-    /// What it is, the same for each attempt at it.
+    /// Identifies the content of the request; the same if the caller sends it again.
     pub(crate) content: Content,
-    /// Counts the request until it is over.
+    /// Counts the request as in flight until it is dropped.
     pub(crate) _in_flight: InFlight,
 }
 
@@ -43,13 +43,13 @@
         self.router.route(self.route)
     }
 
-    /// The identity that the caller gave it; empty if none.
+    /// The request ID that the caller sent; empty if none.
     pub(crate) fn id(&self) -> &str {
         self.head.request_id.as_deref().unwrap_or("")
     }
 
-    /// Refuses the request if it ends the upstreams that run it, after so many runs of
-    /// this attempt. Asked before each send, whatever way it takes.
+    /// Refuses the request if it is quarantined because it crashes upstreams. `runs` is the
+    /// number of times that it may have run so far. Called before each send.
     pub(crate) fn check_quarantine(&self, state: &State, runs: u32) -> Result<(), Refusal> {
         let Some(left) = state.quarantine.left(state.now(), self.content) else {
             return Ok(());
@@ -61,19 +61,19 @@
         })
     }
 
-    /// True if stages have to be done before it can run.
+    /// True if the request has stages that have to run before it.
     pub(crate) fn has_stages(&self) -> bool {
         let numbered = 0..self.route().stages.len();
         let mut pieces = numbered.map(|n| self.head.pieces.get(n).copied().unwrap_or(0));
         pieces.any(|pieces| pieces > 0)
     }
 
-    /// How long its caller still waits.
+    /// The time until the deadline of the request.
     pub(crate) fn time_left(&self, now: MonoTime) -> Duration {
         self.deadline.since(now)
     }
 
-    /// What has to be over for an answer in time.
+    /// When the response has to begin to meet the objective of the route.
     pub(crate) fn objective_deadline(&self) -> MonoTime {
         self.arrived + self.route().objective
     }
--- a/crates/gateway/src/cluster_state.rs
+++ b/crates/gateway/src/cluster_state.rs
@@ -1,4 +1,4 @@
-//! What an instance has been told.
+//! What this instance knows from the store and from other instances.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -14,50 +14,50 @@
 use jd_types::Incarnation;
 use jd_types::MonoTime;
 
-/// How long it counts that an instance brought no news or had lost the store. Asked
-/// sooner it would mostly be the same.
-const SOURCE_STATE_LASTS: Duration = Duration::from_secs(3);
+/// How long an instance counts as unfit to be an update source after it sent no updates or had
+/// lost the store. A retry before that would mostly have the same result.
+const SOURCE_HEALTH_LIFETIME: Duration = Duration::from_secs(3);
 
-/// A deployment in force here.
+/// The deployment that is in force on this instance.
 #[derive(Debug, Clone)]
 pub(crate) struct ActiveDeployment {
     pub(crate) version: u64,
-    /// The record that it was read from.
+    /// The store item that it was read from.
     pub(crate) item: StoreItem,
 }
 
-/// What the store has told, as one value under one lock.
+/// What this instance knows from the store and from other instances, under one lock.
 #[derive(Debug, Default)]
 pub(crate) struct ClusterState {
     pub(crate) freshness: Freshness,
     pub(crate) upstreams: UpstreamDirectory,
     pub(crate) evacuated_zones: EvacuatedZones,
     pub(crate) instances: InstanceDirectory,
-    /// What the operator has put in force, and the record that said so.
+    /// The deployment in force; none before the first one was read.
     pub(crate) deployment: Option<ActiveDeployment>,
-    /// An instance that has a later version in force, and since when that is known.
+    /// An instance that has a later deployment version in force, and when that was noticed.
     pub(crate) newer_peer: Option<(Incarnation, MonoTime)>,
     pub(crate) mirror: StoreMirror,
-    /// Instances that brought no news or had lost the store, and when.
+    /// Instances that sent no updates or had lost the store, and when.
     source_health_by_peer: HashMap<Incarnation, (MonoTime, SourceState)>,
-    /// When the store's list of instances was first read.
+    /// When the list of instances in the store was first read.
     pub(crate) instances_listed_at: Option<MonoTime>,
-    /// Earlier starts of this instance whose entries the store still has.
+    /// Earlier incarnations of this instance whose entries are still in the store.
     pub(crate) previous_incarnations: Vec<Incarnation>,
-    /// What owners last said of their shards, and when.
+    /// The backlogs of shards that their owners last reported, and when.
     pub(crate) backlogs: HashMap<Shard, (MonoTime, Duration)>,
 }
 
 impl ClusterState {
-    /// What an instance was lately like as a source of news.
+    /// The recent health of an instance as an update source.
     pub(crate) fn source_health(&self, now: MonoTime, id: Incarnation) -> SourceState {
         match self.source_health_by_peer.get(&id) {
-            Some((since, state)) if now.since(*since) < SOURCE_STATE_LASTS => *state,
+            Some((since, state)) if now.since(*since) < SOURCE_HEALTH_LIFETIME => *state,
             _ => SourceState::Able,
         }
     }
 
-    /// An instance was like this as a source of news.
+    /// Records the health of an instance as an update source.
     pub(crate) fn record_source_health(
         &mut self,
         now: MonoTime,
@@ -75,19 +75,19 @@
         self.deployment.as_ref().map_or(0, |d| d.version)
     }
 
-    /// An instance told which version is in force there.
+    /// Records the deployment version that is in force on another instance.
     pub(crate) fn record_version(&mut self, now: MonoTime, id: Incarnation, version: u64) {
         let own = self.deployment_version();
         match self.newer_peer {
             None if version > own => self.newer_peer = Some((id, now)),
-            Some((ahead, _)) if ahead == id && version <= own => self.newer_peer = None,
+            Some((newer, _)) if newer == id && version <= own => self.newer_peer = None,
             _ => {}
         }
     }
 
-    /// Forgets what sources were like longer ago than counts.
+    /// Removes health records that have expired.
     pub(crate) fn expire_source_health(&mut self, now: MonoTime) {
         self.source_health_by_peer
-            .retain(|_, (since, _)| now.since(*since) < SOURCE_STATE_LASTS);
+            .retain(|_, (since, _)| now.since(*since) < SOURCE_HEALTH_LIFETIME);
     }
 }
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -1,4 +1,4 @@
-//! How callers and upstreams speak.
+//! The HTTP conventions of callers and upstreams, as a trait.
 
 use std::fmt::Debug;
 use std::net::SocketAddr;
@@ -23,47 +23,47 @@
 use jd_serving::RoomReport;
 use jd_types::Refusal;
 
-/// What goes with a caller's request to one upstream.
+/// What is sent to an upstream in addition to the caller's own request.
 #[derive(Debug, Clone)]
 pub struct UpstreamRequest<'a> {
-    /// The identity that the upstream must have to run it.
+    /// The ID of the upstream that has to run the request; another one refuses it.
     pub upstream: &'a str,
-    /// How long it may take.
+    /// The time until the deadline of the request.
     pub timeout: Duration,
-    /// The customer that it belongs to.
+    /// The customer that the request belongs to.
     pub customer: Option<&'a str>,
-    /// Its rank; 0 is the most urgent.
+    /// The priority; 0 is the most urgent.
     pub priority: u8,
-    /// Results of stages that it works on.
+    /// The handles of the stage results that the request reads.
     pub inputs: &'a [CompactString],
-    /// The event after which a stream goes on.
+    /// The event after which a stream resumes.
     pub last_event: Option<u64>,
 }
 
-/// What the head of an upstream's answer says.
+/// The head of an upstream's response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ResponseHead {
     /// The status.
     pub status: StatusCode,
-    /// The request that it belongs to, as the upstream says.
+    /// The ID of the request that the response belongs to, as the upstream gave it.
     pub request_id: Option<CompactString>,
-    /// True if the upstream vouches for the answer.
+    /// True if the upstream signed the response.
     pub signed: bool,
-    /// True if the upstream says that it did not run the request.
+    /// True if the upstream states that it did not run the request.
     pub not_run: bool,
-    /// True if it is not the upstream's own body.
+    /// True if the body is encoded, so that it is not the upstream's own.
     pub encoded: bool,
 }
 
-/// A question for addresses.
+/// A query for the addresses of instances.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LocateQuery {
-    /// The availability zone that the caller stands in; may be empty.
+    /// The availability zone of the caller; may be empty.
     pub zone: CompactString,
 }
 
-/// Translates what callers and upstreams say into the product's types and back.
-/// Decides nothing.
+/// Translates between the HTTP messages of callers and upstreams and the types of this
+/// project. Makes no decisions.
 pub trait Dialect: Debug + Send + Sync {
     /// Reads the head of a caller's request.
     fn call_head(&self, parts: &Parts) -> CallHead;
@@ -76,54 +76,54 @@
         body: Body,
     ) -> Request<Body>;
 
-    /// Reads the head of an upstream's answer.
+    /// Reads the head of an upstream's response.
     fn response_head(&self, status: StatusCode, headers: &HeaderMap) -> ResponseHead;
 
-    /// The requests a second that an upstream takes from all instances together, as an
-    /// answer of it names them; none if it names no limit.
+    /// The rate limit of an upstream for all instances together, as its response announces it;
+    /// none if it announces none.
     fn rate_limit(&self, headers: &HeaderMap) -> Result<Option<RequestRate>, RateError>;
 
-    /// True if an upstream says in an answer that it is about to stop.
+    /// True if a response announces that its upstream is about to shut down.
     fn announces_leaving(&self, headers: &HeaderMap) -> bool;
 
-    /// How long an upstream that refused a request wants nothing more from this
-    /// instance; none if it does not say so.
+    /// The backoff that an upstream which refused a request asks of this instance; none if it
+    /// asks for none.
     fn retry_after(
         &self,
         status: StatusCode,
         headers: &HeaderMap,
     ) -> Result<Option<RetryAfter>, RetryAfterError>;
 
-    /// The headers of an upstream's answer that the caller gets.
+    /// The headers of an upstream's response that are passed on to the caller.
     fn caller_headers(&self, headers: &HeaderMap) -> HeaderMap;
 
-    /// A refusal as callers understand it.
+    /// The response to a caller whose request is refused.
     fn refusal(&self, refusal: &Refusal) -> Response<Body>;
 
-    /// A call for pieces of stages.
+    /// The request for a batch of stage pieces.
     fn stage_request(&self, upstream: &str, pieces: &[PieceOrder]) -> Request<Body>;
 
-    /// Reads the answer to such a call; none if it is not one.
+    /// Reads the response to a batch; none if it is malformed.
     fn stage_results(&self, body: &[u8], count: usize) -> Option<Vec<PieceResult>>;
 
-    /// A call that gives results up.
+    /// The request that releases results.
     fn free_results_request(&self, handles: &[CompactString]) -> Request<Body>;
 
-    /// A question to an upstream of stages how much room it has.
+    /// The query for the free result storage of a stage upstream.
     fn storage_request(&self, upstream: &str) -> Request<Body>;
 
-    /// Reads the answer to such a question; none if it is not one.
+    /// Reads the response to a storage query; none if it is malformed.
     fn storage_report(&self, body: &[u8]) -> Option<RoomReport>;
 
-    /// Where a result lies; none if its handle does not tell.
+    /// The address of the upstream that stores a result; none if the handle does not name it.
     fn result_address(&self, handle: &str) -> Option<SocketAddr>;
 
-    /// Reads a question for addresses; none if it is something else.
+    /// Reads a query for addresses; none if the URI is not one.
     fn locate_query(&self, uri: &Uri) -> Option<LocateQuery>;
 
-    /// The answer to such a question.
+    /// The response to a query for addresses.
     fn locate_response(&self, addresses: &[SocketAddr], lifetime: Duration) -> Bytes;
 
-    /// True if the request asks whether this instance is ready.
+    /// True if the URI is that of the readiness probe.
     fn is_ready_probe(&self, uri: &Uri) -> bool;
 }
--- a/crates/gateway/src/event_stream.rs
+++ b/crates/gateway/src/event_stream.rs
@@ -1,4 +1,4 @@
-//! The events of one answer, as they come.
+//! The event stream of one response, passed on event by event.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,21 +26,21 @@
 use crate::upstream_selection::RetryState;
 use crate::upstream_selection::send_to_next_upstream;
 
-/// How long a stream that could go on elsewhere may stand still. Twice the
-/// longest pause of the users' routes that still counts as in time.
-const STALL_WITHIN: Duration = Duration::from_millis(1_500);
+/// How long a stream that could resume on another upstream may be silent. Twice the longest
+/// gap between events that the routes of the deployment still count as in time.
+const STALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Why a stream was broken off. The caller sees a cut connection, never an end.
+/// Why a stream was cut off. The caller sees a broken connection, never a regular end.
 #[derive(Debug, Snafu)]
-enum CutOff {
+enum StreamError {
     #[snafu(display("the upstream broke off and nothing could go on; ask again"))]
     Upstream,
     #[snafu(display("the time for the answer is over; allow a longer deadline"))]
     Deadline,
 }
 
-/// The events of one answer. Goes on at another upstream after the last whole
-/// event where the route allows it.
+/// The events of one response. After a failure the stream resumes on another upstream after
+/// the last complete event, if the route allows that.
 #[derive(Debug)]
 pub(crate) struct EventStream {
     state: Arc<State>,
@@ -52,10 +52,10 @@
     splitter: EventSplitter,
     retries: RetryState,
     events: u64,
-    /// When its first events came, and the last ones.
+    /// When the first and the last events were passed on.
     first: Option<MonoTime>,
     last: Option<MonoTime>,
-    /// The longest time between two of its parts.
+    /// The longest time between two parts that were passed on.
     longest_pause: Duration,
 }
 
@@ -64,15 +64,15 @@
         state: &Arc<State>,
         stages: &Arc<StageRunner>,
         request: CallerRequest,
-        answer: UpstreamResponse,
+        response: UpstreamResponse,
         results: StageResults,
         retries: RetryState,
     ) -> EventStream {
         EventStream {
             state: Arc::clone(state),
             request,
-            response: Some(answer.response),
-            attempt: answer.attempt,
+            response: Some(response.response),
+            attempt: response.attempt,
             stages: Arc::clone(stages),
             results,
             splitter: EventSplitter::default(),
@@ -84,45 +84,48 @@
         }
     }
 
-    /// The next part of the body and the rest of the stream; none at its end.
+    /// The next part of the body and the remaining stream; none at the end.
     pub(crate) async fn next(mut self) -> Option<(Result<Bytes, BodyError>, EventStream)> {
         loop {
             let left = self.request.time_left(self.state.now());
-            let wait = match self.may_go_on() {
-                true => left.min(STALL_WITHIN),
+            let wait = match self.may_resume() {
+                true => left.min(STALL_TIMEOUT),
                 false => left,
             };
             let response = self.response.as_mut()?;
-            let over = async {
+            let restarted = async {
                 self.attempt.until_restarted().await;
                 Some(Err(SendError::Broken))
             };
-            let read = within(wait, response.part()).or(over).await;
+            let read = within(wait, response.part()).or(restarted).await;
             let outcome = match read {
                 Some(Ok(Some(part))) => match self.splitter.push(&part) {
                     Some(events) => {
-                        self.passed_on();
+                        self.record_part();
                         return Some((Ok(events), self));
                     }
                     None => continue,
                 },
-                Some(Ok(None)) => return self.ended(),
+                Some(Ok(None)) => return self.finish(),
                 Some(Err(_)) => {
                     self.attempt.report_broken();
                     AttemptOutcome::Truncated
                 }
                 None if self.request.time_left(self.state.now()).is_zero() => {
-                    return Some(self.cut(AttemptOutcome::TimedOut, CutOff::Deadline).await);
+                    return Some(
+                        self.cut_off(AttemptOutcome::TimedOut, StreamError::Deadline)
+                            .await,
+                    );
                 }
                 None => AttemptOutcome::Silent,
             };
-            if !self.go_on(outcome).await {
-                return Some(self.cut(outcome, CutOff::Upstream).await);
+            if !self.resume(outcome).await {
+                return Some(self.cut_off(outcome, StreamError::Upstream).await);
             }
         }
     }
 
-    fn passed_on(&mut self) {
+    fn record_part(&mut self) {
         self.events += 1;
         let now = self.state.now();
         let pause = now.since(self.last.unwrap_or(now));
@@ -130,12 +133,12 @@
         self.first.get_or_insert(now);
         self.last = Some(now);
         self.attempt.record_progress();
-        // The upstream has read its inputs once it makes events. Results take
-        // much room; a stream that goes on elsewhere has them made again.
+        // An upstream that sends events has read its inputs. Results take much storage; a
+        // stream that resumes on another upstream has its stages run again.
         self.results.release();
     }
 
-    fn ended(mut self) -> Option<(Result<Bytes, BodyError>, EventStream)> {
+    fn finish(mut self) -> Option<(Result<Bytes, BodyError>, EventStream)> {
         self.attempt.mark_completed();
         self.attempt.finish(AttemptOutcome::Answered);
         self.response = None;
@@ -157,10 +160,10 @@
         (!rest.is_empty()).then_some((Ok(rest), self))
     }
 
-    async fn cut(
+    async fn cut_off(
         mut self,
         outcome: AttemptOutcome,
-        why: CutOff,
+        why: StreamError,
     ) -> (Result<Bytes, BodyError>, EventStream) {
         self.attempt.finish(outcome);
         self.response = None;
@@ -177,24 +180,24 @@
             ms = self.state.now().since(self.request.arrived).as_millis() as u64;
             "stream cut off"
         );
-        // Events that are written but not yet sent would be dropped with the
-        // connection; the caller may go on after the last of them.
+        // Let events that are written but not yet sent reach the caller before the connection
+        // is dropped: the caller may resume after the last of them.
         future::yield_now().await;
         (Err(Box::new(why)), self)
     }
 
-    fn may_go_on(&self) -> bool {
+    fn may_resume(&self) -> bool {
         let route = self.request.route();
         route.repeat == Repeat::Resumable && self.retries.possible_runs < route.max_attempts
     }
 
-    /// Goes on at another upstream after the last whole event; false if that is
-    /// not allowed or not possible.
-    async fn go_on(&mut self, outcome: AttemptOutcome) -> bool {
+    /// Resumes on another upstream after the last complete event. Returns false if that is not
+    /// allowed or not possible.
+    async fn resume(&mut self, outcome: AttemptOutcome) -> bool {
         self.response = None;
         self.attempt.finish(outcome);
-        let _torn = self.splitter.rest();
-        while self.may_go_on() && self.state.may_retry(&self.request.service) {
+        let _partial_event = self.splitter.rest();
+        while self.may_resume() && self.state.may_retry(&self.request.service) {
             match self.stages.run(&self.request).await {
                 Ok(results) => self.results = results,
                 Err(_) => return false,
@@ -202,26 +205,33 @@
             let last = self.splitter.last_event().or(self.request.head.last_event);
             let inputs = self.results.handles();
             let (state, request) = (&self.state, &self.request);
-            let left = |_| request.time_left(state.now());
-            let sending =
-                send_to_next_upstream(state, request, &mut self.retries, inputs, last, left, || {});
+            let timeout = |_| request.time_left(state.now());
+            let sending = send_to_next_upstream(
+                state,
+                request,
+                &mut self.retries,
+                inputs,
+                last,
+                timeout,
+                || {},
+            );
             let sent = sending.await;
             if let Err(NextSendError::Refused(_)) = &sent {
                 return false;
             }
             self.retries.possible_runs += 1;
-            if let Ok(answer) = sent
-                && answer.head.status.is_success()
+            if let Ok(response) = sent
+                && response.head.status.is_success()
             {
                 log::info!(
                         request = self.request.id(),
                 content:% = self.request.content,
-                        upstream = answer.attempt.id(),
+                        upstream = response.attempt.id(),
                         last_event:? = last;
-                        "stream goes on elsewhere"
+                        "stream resumed on another upstream"
                     );
-                self.response = Some(answer.response);
-                self.attempt = answer.attempt;
+                self.response = Some(response.response);
+                self.attempt = response.attempt;
                 return true;
             }
         }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! Starting a gateway instance and stopping it with grace.
+//! Starts a gateway instance and shuts it down gracefully.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -46,19 +46,19 @@
 use crate::store_proof::StoreProof;
 use crate::store_reader::StoreReader;
 
-/// The part of the grace in which new callers are still taken, in hundredths:
-/// until most of those who keep this address have asked again.
+/// The percentage of the grace period in which new requests are still accepted: until most of
+/// the callers that cached this address have queried addresses again.
 const ACCEPT_PERCENT: u32 = 37;
-/// What is left of the grace when the last requests are cut: the process has
-/// to be gone before it is killed.
+/// How long before the end of the grace period the last requests are cut off: the process has
+/// to exit before it is killed.
 const GRACE_MARGIN: Duration = Duration::from_millis(250);
-/// How often the operator's limits are looked at. New connections get them; a
-/// second is far below the time in which a version has to be in force.
-const FOLLOW_LIMITS: Duration = Duration::from_millis(500);
-/// How often a stop looks whether everything has ended.
-const STOP_STEP: Duration = Duration::from_millis(50);
+/// How often the configured limits are applied to the caller endpoint. They affect new
+/// connections; a second is far below the time in which a version has to be in force.
+const LIMITS_INTERVAL: Duration = Duration::from_millis(500);
+/// The interval at which a shutdown checks the time.
+const STOP_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Why a gateway could not start.
+/// The error of a gateway that could not start.
 #[derive(Debug, Snafu)]
 #[snafu(display("{address} cannot be listened on ({source}); free it, or change the settings"))]
 pub struct StartError {
@@ -66,7 +66,7 @@
     source: std::io::Error,
 }
 
-/// A running gateway instance. Dropping it ends everything at once.
+/// A running gateway instance. Dropping it aborts all of its tasks at once.
 pub struct Gateway {
     state: Arc<State>,
     lease: Arc<StoreLease>,
@@ -187,10 +187,10 @@
             )?,
             listen(&state, s.peers, own, Arc::new(PeerHandler::new(peer_api)))?,
         ];
-        let following = follow_limits(Arc::clone(&state), Arc::clone(&callers));
+        let applying = apply_limits(Arc::clone(&state), Arc::clone(&callers));
         let reporting = Arc::clone(&lease.link).report();
         let tasks = vec![
-            executor.spawn(following),
+            executor.spawn(applying),
             executor.spawn(Arc::clone(&follower).follow()),
             executor.spawn(Arc::clone(&follower).catch_up()),
             executor.spawn(follower.expire()),
@@ -199,7 +199,7 @@
             executor.spawn(Arc::clone(&lease).remove_silent()),
             executor.spawn(reporting),
             executor.spawn(peers.beat()),
-            executor.spawn(dispatcher.tick()),
+            executor.spawn(dispatcher.run_ticks()),
             executor.spawn(release_queue.run()),
             executor.spawn(free_queue.run()),
             executor.spawn(coordinator.run()),
@@ -221,22 +221,22 @@
         })
     }
 
-    /// Stops with grace: out of every answer about addresses at once, still
-    /// taking those who keep this address, then only finishing what is here.
-    /// Ends when the last request has its answer, or just before the grace is
-    /// over.
+    /// Shuts down gracefully. The instance is removed from address responses at once, goes on
+    /// accepting callers that cached its address for a while, and then only finishes requests
+    /// in flight. Returns when the last request is finished, or just before the grace period
+    /// ends.
     pub async fn stop(&self) {
         let began = self.state.now();
         let grace = self.state.settings.grace;
         log::info!(in_flight = self.state.in_flight(); "stopping");
         self.state.start_leaving();
         self.lease.withdraw().await;
-        let last = began + grace.saturating_sub(GRACE_MARGIN);
+        let cut_off = began + grace.saturating_sub(GRACE_MARGIN);
         let accept_until = began + grace * ACCEPT_PERCENT / 100;
         while self.state.now() < accept_until {
-            Timer::after(STOP_STEP).await;
+            Timer::after(STOP_INTERVAL).await;
         }
-        self.callers.stop(last.since(self.state.now())).await;
+        self.callers.stop(cut_off.since(self.state.now())).await;
         let took = self.state.now().since(began).as_millis() as u64;
         log::info!(in_flight = self.state.in_flight(), ms = took; "stopped");
     }
@@ -252,18 +252,18 @@
     HttpServer::start(executor, address, limits, handler).context(StartSnafu { address })
 }
 
-/// Keeps the limits of the callers' endpoint as the operator has them.
-async fn follow_limits(state: Arc<State>, callers: Arc<HttpServer>) {
+/// Applies the configured limits to the caller endpoint. Never returns.
+async fn apply_limits(state: Arc<State>, callers: Arc<HttpServer>) {
     loop {
-        Timer::after(FOLLOW_LIMITS).await;
+        Timer::after(LIMITS_INTERVAL).await;
         if let Some(router) = state.router.load().as_ref() {
             callers.set_limits(caller_limits(&state.settings, &router.limits));
         }
     }
 }
 
-/// The limits of the callers' endpoint. The wait for a head covers the time
-/// between two requests of a connection as well, so it is the longer of both.
+/// The limits of the caller endpoint. The timeout for a head also covers the idle time between
+/// two requests on a connection, so that the longer of both limits applies.
 fn caller_limits(settings: &GatewaySettings, limits: &CallerLimits) -> ServerLimits {
     ServerLimits {
         connections: settings.max_connections,
--- a/crates/gateway/src/latch.rs
+++ b/crates/gateway/src/latch.rs
@@ -1,33 +1,33 @@
-//! Something that happens once and that many may wait for.
+//! A one-time event that any number of tasks can wait for.
 
 use std::sync::atomic::AtomicBool;
 use std::sync::atomic::Ordering;
 
 use event_listener::Event;
 
-/// Something that happens once and that many may wait for.
+/// A one-time event that any number of tasks can wait for.
 #[derive(Debug, Default)]
 pub(crate) struct Latch {
-    happened: AtomicBool,
-    told: Event,
+    is_set: AtomicBool,
+    event: Event,
 }
 
 impl Latch {
-    /// It happens; true if it had not before.
+    /// Sets the latch; true if it was not set before.
     pub(crate) fn set(&self) -> bool {
-        let first = !self.happened.swap(true, Ordering::SeqCst);
+        let first = !self.is_set.swap(true, Ordering::SeqCst);
         if first {
-            self.told.notify(usize::MAX);
+            self.event.notify(usize::MAX);
         }
         first
     }
 
-    /// Returns once it has happened.
+    /// Waits until the latch is set.
     pub(crate) async fn wait(&self) {
-        while !self.happened.load(Ordering::SeqCst) {
-            let told = self.told.listen();
-            if !self.happened.load(Ordering::SeqCst) {
-                told.await;
+        while !self.is_set.load(Ordering::SeqCst) {
+            let listener = self.event.listen();
+            if !self.is_set.load(Ordering::SeqCst) {
+                listener.await;
             }
         }
     }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,10 +1,11 @@
-//! The gateway instance: the shell around the serving decisions.
+//! The gateway instance: network I/O around the serving decisions.
 //!
-//! Every instance is alike. It tells callers which address to use, takes their
-//! requests, has their stages done, sends them to upstreams and gives each
-//! caller its own whole answer or a truthful refusal. This crate owns sockets,
-//! timers and tasks; the rules are in `jd-serving` and `jd-policy`. How callers,
-//! upstreams and the store speak is behind [`Dialect`] and [`Store`].
+//! All instances are equal. An instance tells callers which addresses to use, accepts their
+//! requests, runs the stages, sends the requests to upstreams, and returns to each caller
+//! either its complete response or a refusal that says whether the request may have run. This
+//! crate owns sockets, timers and tasks; the decisions are made in `jd-serving` and
+//! `jd-policy`. The protocols of callers and upstreams are behind [`Dialect`], that of the
+//! store behind [`Store`].
 
 mod attempt;
 mod batch_dispatcher;
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What the gateway counts.
+//! The metrics of the gateway.
 
 use std::time::Duration;
 
@@ -27,7 +27,7 @@
     kind: &'static str,
 }
 
-/// What the gateway counts, and its text form.
+/// The metrics of the gateway, with their encoding as text.
 #[derive(Debug)]
 pub(crate) struct Metrics {
     registry: Registry,
@@ -48,7 +48,7 @@
 impl Metrics {
     pub(crate) fn new() -> Metrics {
         let mut registry = Registry::default();
-        // From 1 ms, doubled, to half a minute.
+        // Buckets from 1 ms to half a minute, each double the one before.
         let histogram = || Histogram::new(exponential_buckets(0.001, 2.0, 16));
         let metrics = Metrics {
             requests: Family::default(),
@@ -180,7 +180,7 @@
             .set(i64::try_from(count).unwrap_or(i64::MAX));
     }
 
-    /// The text form that collectors read.
+    /// Encodes the metrics in the text format that collectors read.
     pub(crate) fn text(&self) -> String {
         let mut buf = String::new();
         if let Err(e) = encode(&mut buf, &self.registry) {
--- a/crates/gateway/src/result_free_queue.rs
+++ b/crates/gateway/src/result_free_queue.rs
@@ -1,4 +1,4 @@
-//! Telling upstreams which results nobody needs.
+//! Releases results on the upstreams that store them.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,16 +15,16 @@
 use crate::state::State;
 use crate::upstream_client::SendPurpose;
 
-/// How long results are gathered before one call gives them up. Far below the
-/// time after which upstreams drop them by themselves.
-const GATHER: Duration = Duration::from_millis(60);
-/// How long such a call may take.
-const CALL_WITHIN: Duration = Duration::from_millis(100);
+/// How long results are collected before one request releases them. Far shorter than the time
+/// after which upstreams drop results by themselves.
+const FLUSH_INTERVAL: Duration = Duration::from_millis(60);
+/// The timeout of a release request.
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Tells upstreams which results nobody needs any more.
+/// Collects results that no request needs any more and releases them on their upstreams.
 ///
-/// Guards against upstreams running out of room: each keeps a result for
-/// seconds after everybody has read it, and refuses pieces meanwhile.
+/// Without this, upstreams run out of storage: each keeps a result for seconds after its last
+/// use, and refuses pieces in the meantime.
 #[derive(Debug)]
 pub(crate) struct ResultFreeQueue {
     state: Arc<State>,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Nobody works on these any more.
+    /// Queues results that no request needs any more.
     pub(crate) fn add(&self, handles: Vec<CompactString>) {
         let mut pending = lock(&self.pending);
         for handle in handles {
@@ -49,38 +49,38 @@
         }
     }
 
-    /// Gives gathered results up for good.
+    /// Releases queued results at each interval. Never returns.
     pub(crate) async fn run(self: Arc<Self>) {
         loop {
-            Timer::after(GATHER).await;
+            Timer::after(FLUSH_INTERVAL).await;
             let pending = std::mem::take(&mut *lock(&self.pending));
             for (address, handles) in pending {
                 let this = Arc::clone(&self);
-                let freeing = async move { this.free(address, &handles).await };
-                self.state.executor.spawn(freeing).detach();
+                let releasing = async move { this.release(address, &handles).await };
+                self.state.executor.spawn(releasing).detach();
             }
         }
     }
 
-    /// Gives up at once what is gathered for one upstream.
+    /// Releases the queued results of one upstream now.
     pub(crate) async fn flush(&self, address: SocketAddr) {
         let handles = lock(&self.pending).remove(&address);
         if let Some(handles) = handles {
-            self.free(address, &handles).await;
+            self.release(address, &handles).await;
         }
     }
 
-    async fn free(&self, address: SocketAddr, handles: &[CompactString]) {
-        let freed = self.tell(address, handles).await;
-        if !freed {
-            log::debug!(address:% = address, count = handles.len(); "results not given up; they expire");
+    async fn release(&self, address: SocketAddr, handles: &[CompactString]) {
+        let released = self.send(address, handles).await;
+        if !released {
+            log::debug!(address:% = address, count = handles.len(); "results not released; they will expire");
         }
     }
 
-    async fn tell(&self, address: SocketAddr, handles: &[CompactString]) -> bool {
+    async fn send(&self, address: SocketAddr, handles: &[CompactString]) -> bool {
         let state = &self.state;
         let listed = state.upstreams.load().by_address(address);
-        // One that leaves is listed no more, and still has results.
+        // An upstream that is shutting down is not listed any more, but still stores results.
         let upstream = listed.unwrap_or_else(|| UpstreamRef {
             service: CompactString::default(),
             id: CompactString::default(),
@@ -97,9 +97,9 @@
         let req = state.dialect.free_results_request(handles);
         let sending = state
             .upstream_client
-            .send(state, permit, req, CALL_WITHIN, || {});
+            .send(state, permit, req, RELEASE_TIMEOUT, || {});
         match sending.await {
-            // Read to its end, so that the connection can be used again.
+            // The body is read so that the connection can be reused.
             Ok(response) => response.whole(1 << 16).await.is_ok(),
             Err(_) => false,
         }
--- a/crates/gateway/src/result_release_queue.rs
+++ b/crates/gateway/src/result_release_queue.rs
@@ -1,4 +1,4 @@
-//! Giving results of stages up.
+//! Releases stage results through the instances that own their shards.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,12 +15,12 @@
 use crate::result_free_queue::ResultFreeQueue;
 use crate::state::State;
 
-/// How long results are gathered before their owner is told. Short against a
-/// call, so that the owner knows of the room when it fills the next one.
-const GATHER: Duration = Duration::from_millis(25);
+/// How long results are collected before their owner is told. Shorter than a batch, so that
+/// the owner counts the storage as free when it forms the next batch.
+const FLUSH_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Tells the instances that had stages done which results are no longer
-/// needed. They count the room of the upstreams, so they give the results up.
+/// Collects results that are no longer needed and tells the instances that had the stages
+/// run. These account for the storage of the upstreams, and therefore release the results.
 #[derive(Debug)]
 pub(crate) struct ResultReleaseQueue {
     pub(crate) state: Arc<State>,
@@ -31,7 +31,7 @@
 }
 
 impl ResultReleaseQueue {
-    /// Nobody works on these results of `owner` any more.
+    /// Queues results of `owner` that no request needs any more.
     pub(crate) fn add(&self, owner: SocketAddr, handles: Vec<CompactString>) {
         if !handles.is_empty() {
             let mut pending = lock(&self.pending);
@@ -39,10 +39,10 @@
         }
     }
 
-    /// Tells the owners for good.
+    /// Sends queued results to their owners at each interval. Never returns.
     pub(crate) async fn run(self: Arc<Self>) {
         loop {
-            Timer::after(GATHER).await;
+            Timer::after(FLUSH_INTERVAL).await;
             let pending = std::mem::take(&mut *lock(&self.pending));
             for (owner, handles) in pending {
                 if owner == self.state.own_entry.peers {
@@ -50,14 +50,14 @@
                     continue;
                 }
                 let this = Arc::clone(&self);
-                let telling = async move { this.tell(owner, handles).await };
-                self.state.executor.spawn(telling).detach();
+                let sending = async move { this.send(owner, handles).await };
+                self.state.executor.spawn(sending).detach();
             }
         }
     }
 
-    /// Without their owner the results are given up from here.
-    async fn tell(&self, owner: SocketAddr, handles: Vec<CompactString>) {
+    /// Sends results to their owner. Releases them from here if the owner does not answer.
+    async fn send(&self, owner: SocketAddr, handles: Vec<CompactString>) {
         if !self.peers.release_results(owner, &handles).await {
             self.free_queue.add(handles);
         }
--- a/crates/gateway/src/run_events.rs
+++ b/crates/gateway/src/run_events.rs
@@ -1,4 +1,4 @@
-//! What instances see of runs at upstreams, from the path of a request to the coordinators.
+//! Events of runs on upstreams, passed from the request path to the quarantine coordinators.
 
 use std::net::SocketAddr;
 
@@ -10,11 +10,11 @@
 use jd_serving::UpstreamStart;
 use jd_types::MonoTime;
 
-/// Events that may wait. Broken runs come by the hundred where upstreams end in
-/// numbers, and are taken at once; more than this would be old when they are taken.
-const MOST_WAITING: usize = 1_024;
+/// The capacity of the queue. Broken runs come by the hundred when many upstreams crash, and
+/// are consumed at once; events beyond this number would be stale when they are consumed.
+const QUEUE_CAPACITY: usize = 1_024;
 
-/// One start of an upstream, by where it answers.
+/// One start of an upstream, with its address.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct UpstreamRef {
     pub(crate) service: CompactString,
@@ -23,21 +23,21 @@
     pub(crate) address: SocketAddr,
 }
 
-/// What was seen of a run.
+/// An event of a run on an upstream.
 #[derive(Debug)]
 pub(crate) enum RunEvent {
-    /// Its connection broke before its end.
+    /// The connection broke before the run completed.
     Broken {
         at: MonoTime,
         upstream: UpstreamRef,
         content: Content,
         began: MonoTime,
     },
-    /// It came to its end, and something is held against its request.
+    /// The run completed, and its request is suspected or quarantined.
     Completed(CompletedRun),
 }
 
-/// Events on their way.
+/// A bounded queue of run events.
 #[derive(Debug)]
 pub(crate) struct RunEvents {
     tx: Sender<RunEvent>,
@@ -46,17 +46,17 @@
 
 impl RunEvents {
     pub(crate) fn new() -> RunEvents {
-        let (tx, rx) = async_channel::bounded(MOST_WAITING);
+        let (tx, rx) = async_channel::bounded(QUEUE_CAPACITY);
         RunEvents { tx, rx }
     }
 
     pub(crate) fn add(&self, event: RunEvent) {
         if let Err(e) = self.tx.try_send(event) {
-            log::warn!(error:% = e; "event of a run dropped; the next one counts");
+            log::warn!(error:% = e; "run event dropped: queue is full");
         }
     }
 
-    /// The next one.
+    /// The next event.
     pub(crate) async fn next(&self) -> Option<RunEvent> {
         self.rx.recv().await.ok()
     }
--- a/crates/gateway/src/service_apis.rs
+++ b/crates/gateway/src/service_apis.rs
@@ -1,4 +1,4 @@
-//! The small endpoints: addresses, readiness, metrics.
+//! The endpoints for instance addresses, readiness and metrics.
 
 use std::sync::Arc;
 
@@ -14,7 +14,7 @@
 
 use crate::state::State;
 
-/// Tells callers which addresses to use.
+/// Answers queries for the addresses of instances.
 #[derive(Debug)]
 pub(crate) struct LocateApi(pub(crate) Arc<State>);
 
@@ -34,7 +34,7 @@
         let now = state.now();
         let own = state.is_ready().then_some(&state.own_entry);
         let addresses = state.cluster().instances.addresses(now, &query.zone, own);
-        // Without any address the caller is better served by another instance.
+        // Without an address, an error makes the caller ask another instance.
         if addresses.is_empty() {
             return status(StatusCode::SERVICE_UNAVAILABLE);
         }
@@ -43,7 +43,7 @@
     }
 }
 
-/// Says whether this instance is ready.
+/// Answers readiness probes.
 #[derive(Debug)]
 pub(crate) struct ReadyApi(pub(crate) Arc<State>);
 
@@ -59,7 +59,7 @@
     }
 }
 
-/// Shows the metrics, whatever path is asked for.
+/// Serves the metrics on every path.
 #[derive(Debug)]
 pub(crate) struct MetricsApi(pub(crate) Arc<State>);
 
--- a/crates/gateway/src/signal.rs
+++ b/crates/gateway/src/signal.rs
@@ -1,4 +1,4 @@
-//! A signal from one task to another.
+//! A notification from one task to another.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use async_io::Timer;
 use futures_lite::FutureExt;
 
-/// A signal that one task waits for. Given while nobody waits, it is kept.
+/// A notification for one waiting task. If no task waits, it is kept for the next wait.
 #[derive(Debug)]
 pub(crate) struct Signal {
     tx: Sender<()>,
@@ -21,24 +21,24 @@
     }
 
     pub(crate) fn notify(&self) {
-        // Fails only if one is kept already, which says the same.
+        // Fails only if a notification is pending already.
         let _ = self.tx.try_send(());
     }
 
-    /// Waits for the signal as long as it takes.
+    /// Waits for the notification.
     pub(crate) async fn wait(&self) {
-        // Fails only if the sender is gone, and it is in this very struct.
+        // Fails only if the sender was dropped, and `self` holds it.
         let _ = self.rx.recv().await;
     }
 
-    /// Waits for the signal, at most `limit`; false if that came first.
+    /// Waits for the notification, at most `limit`; false after a timeout.
     pub(crate) async fn wait_timeout(&self, limit: Duration) -> bool {
-        // Fails only if the sender is gone, and it is in this very struct.
-        let given = async { self.rx.recv().await.is_ok() };
-        let late = async {
+        // Fails only if the sender was dropped, and `self` holds it.
+        let notified = async { self.rx.recv().await.is_ok() };
+        let timeout = async {
             Timer::after(limit).await;
             false
         };
-        given.or(late).await
+        notified.or(timeout).await
     }
 }
--- a/crates/gateway/src/stage_runner.rs
+++ b/crates/gateway/src/stage_runner.rs
@@ -1,4 +1,4 @@
-//! Having the stages of a request done.
+//! Runs the stages of a request on the instance that owns their shard.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,30 +25,30 @@
 use crate::signal::Signal;
 use crate::state::State;
 
-/// What an upstream takes from the request to its first event, about: the part
-/// of the objective that stages leave it.
-const GENERATION_START: Duration = Duration::from_millis(200);
-/// Callers leave a stream that does not begin within that many objectives.
+/// The approximate time from a request to the first event of its upstream: the part of the
+/// objective that stages leave for the request.
+const TIME_TO_FIRST_EVENT: Duration = Duration::from_millis(200);
+/// Callers abandon a stream that does not begin within this many objectives.
 const ABANDON_OBJECTIVES: u32 = 4;
-/// The part of that time, or of the deadline, that stages may take.
-const GIVE_UP_PERCENT: u32 = 85;
-/// How long after a request was sent its upstream has read the results that it
-/// works on, which it does before it reads the prompt.
-const RESULTS_READ: Duration = Duration::from_millis(50);
-/// How often it is looked whether the owner is still there.
-const OWNER_CHECK: Duration = Duration::from_millis(200);
-/// How often one owner is asked while it answers heartbeats.
-const ASKS_OF_OWNER: u32 = 2;
-/// How often a request follows its stages from owner to owner. After all
-/// instances have started they agree within two changes.
+/// The percentage of that time, or of the time to the deadline, that stages may take.
+const STAGES_PERCENT: u32 = 85;
+/// How long after a request was sent its upstream has read its input results. It reads them
+/// before the prompt.
+const RESULTS_READ_AFTER: Duration = Duration::from_millis(50);
+/// How often a pending request to an owner checks that the owner is still live.
+const OWNER_CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// How often a job is sent to one owner while that owner answers heartbeats.
+const ATTEMPTS_PER_OWNER: u32 = 2;
+/// How often a job follows its shard to a new owner. After a start of all instances they
+/// agree on the owners within two changes.
 const MAX_MOVES: u32 = 4;
-/// When to come back after no upstream was listed: entries that lapsed with the
-/// store are back within two seconds, most within one.
-const LISTED_AGAIN: Duration = Duration::from_millis(1_200);
-/// When to come back after stages could not be done.
-const FAILED_PAUSE: Duration = Duration::from_millis(500);
+/// The retry time if no upstream is listed: entries that expired during a store outage are
+/// back within two seconds, most of them within one.
+const NO_UPSTREAM_RETRY: Duration = Duration::from_millis(1_200);
+/// The retry time after stages failed.
+const FAILED_RETRY: Duration = Duration::from_millis(500);
 
-/// Has the stages of requests done by the instance that fills the batches.
+/// Runs the stages of requests on the instance that schedules their batches.
 #[derive(Debug)]
 pub(crate) struct StageRunner {
     pub(crate) state: Arc<State>,
@@ -57,8 +57,7 @@
     pub(crate) release_queue: Arc<ResultReleaseQueue>,
 }
 
-/// Results of stages that a request works on; given up once, at the latest when
-/// dropped.
+/// The stage results that a request reads. They are released once, at the latest on drop.
 #[derive(Debug)]
 pub(crate) struct StageResults {
     handles: Vec<CompactString>,
@@ -72,23 +71,23 @@
         &self.handles
     }
 
-    /// Nobody works on them any more.
+    /// Releases the results, unless they are released already.
     pub(crate) fn release(&self) {
         if self.held.swap(false, Ordering::Relaxed) {
             self.release_queue.add(self.owner, self.handles.to_vec());
         }
     }
 
-    /// Gives them up once the upstream that was asked has most likely read them. It
-    /// does so before it reads the prompt, which can take many times longer.
+    /// Releases the results once the upstream has most likely read them, and never returns.
+    /// The upstream reads them before the prompt, which can take many times longer.
     ///
-    /// Guards against results that are given up before anybody could read them:
-    /// counted from the choice of an upstream, a connection that would not open
-    /// outlasted them, the next upstream found them gone, and all stages were done
-    /// again, in a fleet that had just lost a part of its upstreams.
+    /// The time runs from the write of the request. If it ran from the selection of an
+    /// upstream, a connection that does not open would outlast the results; the next upstream
+    /// would find them gone and all stages would run again, just when a part of the upstreams
+    /// is lost.
     pub(crate) async fn release_when_read<T>(&self, written: &Signal) -> T {
         written.wait().await;
-        Timer::after(RESULTS_READ).await;
+        Timer::after(RESULTS_READ_AFTER).await;
         self.release();
         futures_lite::future::pending().await
     }
@@ -101,8 +100,8 @@
 }
 
 impl StageRunner {
-    /// Has the stages of a request done. Nothing of the request itself has run
-    /// when this refuses.
+    /// Runs the stages of a request. If this returns a refusal, the request itself has not
+    /// run.
     pub(crate) async fn run(&self, request: &CallerRequest) -> Result<StageResults, Refusal> {
         request.check_quarantine(&self.state, 0)?;
         let (owner, handles) = match self.job(request) {
@@ -123,16 +122,16 @@
         job: &StageJob,
     ) -> Result<(SocketAddr, Vec<CompactString>), Refusal> {
         let began = self.state.now();
-        let mut ended = self.ask_owners(job).await;
+        let mut ended = self.run_on_owners(job).await;
         let mut moves = 0;
         while matches!(ended, Err(JobFailure::Moved)) && moves < MAX_MOVES {
             moves += 1;
-            ended = self.ask_owners(job).await;
+            ended = self.run_on_owners(job).await;
         }
         let took = self.state.now().since(began);
         let outcome = match &ended {
             Ok(_) => "done",
-            Err(failure) => name_of(*failure),
+            Err(failure) => failure_name(*failure),
         };
         self.state.metrics.stages(outcome, took);
         log::info!(
@@ -141,11 +140,11 @@
             ms = took.as_millis() as u64;
             "stages ended"
         );
-        ended.map_err(refusal_of)
+        ended.map_err(refusal_for)
     }
 
-    /// The results, and the owner that had them made.
-    async fn ask_owners(
+    /// Returns the results and the owner that ran the stages.
+    async fn run_on_owners(
         &self,
         job: &StageJob,
     ) -> Result<(SocketAddr, Vec<CompactString>), JobFailure> {
@@ -156,28 +155,28 @@
             if owner == me {
                 break;
             }
-            // A connection can break although the owner is well. Another owner
-            // would fill calls beside it, so it is asked once more first.
-            for _ in 0..ASKS_OF_OWNER {
-                match self.ask_owner(owner, &shard, job).await {
-                    // It has started and not read the store, while here upstreams
-                    // are known: the next owner is asked.
+            // A connection can break although the owner is live. A second owner would form
+            // batches for the same upstreams, so the job is sent to this one again first.
+            for _ in 0..ATTEMPTS_PER_OWNER {
+                match self.run_on_owner(owner, &shard, job).await {
+                    // The owner has just started and has not read the store, while this
+                    // instance knows upstreams: try the next owner.
                     Some(Err(JobFailure::NoUpstream)) => break,
                     Some(outcome) => return outcome.map(|handles| (owner, handles)),
                     None => {}
                 }
-                if !self.is_heard(owner) {
+                if !self.is_live(owner) {
                     break;
                 }
             }
-            log::warn!(owner:% = owner, request = job.request_id.as_str(); "owner of stages silent");
+            log::warn!(owner:% = owner, request = job.request_id.as_str(); "owner of stages does not answer");
         }
         let handles = self.dispatcher.run(shard, job.clone()).await?;
         Ok((me, handles))
     }
 
-    /// Asks one owner; none if it does not answer.
-    async fn ask_owner(
+    /// Sends the job to one owner; none if that owner does not answer.
+    async fn run_on_owner(
         &self,
         owner: SocketAddr,
         shard: &Shard,
@@ -185,18 +184,18 @@
     ) -> Option<Result<Vec<CompactString>, JobFailure>> {
         let asking = async { self.peers.run_stages(owner, shard, job).await };
         let gone = async {
-            self.until_gone(owner).await;
+            self.wait_until_gone(owner).await;
             None
         };
         asking.or(gone).await
     }
 
-    fn is_heard(&self, owner: SocketAddr) -> bool {
+    fn is_live(&self, owner: SocketAddr) -> bool {
         let now = self.state.now();
         self.state.cluster().instances.is_there(now, owner)
     }
 
-    /// The shard that a job goes to; none if no shard does all of its stages.
+    /// The shard that a job runs on; none if no shard serves all of its stages.
     fn shard(&self, job: &StageJob) -> Option<Shard> {
         let bytes = job.request_id.bytes();
         let place = bytes.fold(0_u64, |h, b| h.wrapping_mul(31).wrapping_add(u64::from(b)));
@@ -208,11 +207,11 @@
         shards.choose(place, &services, job.zone.as_ref(), bytes, backlog)
     }
 
-    /// Returns once an owner does not answer heartbeats any more.
-    async fn until_gone(&self, owner: SocketAddr) {
+    /// Returns once an owner stops answering heartbeats.
+    async fn wait_until_gone(&self, owner: SocketAddr) {
         loop {
-            Timer::after(OWNER_CHECK).await;
-            if !self.is_heard(owner) {
+            Timer::after(OWNER_CHECK_INTERVAL).await;
+            if !self.is_live(owner) {
                 return;
             }
         }
@@ -238,17 +237,17 @@
             content: request.content,
             piece_key: request.head.piece_key.clone().unwrap_or_default(),
             stages,
-            objective: request.objective_deadline().before(GENERATION_START),
-            deadline: give_up_at(request),
+            objective: request.objective_deadline().before(TIME_TO_FIRST_EVENT),
+            deadline: stages_deadline(request),
             priority: request.priority,
-            zone: self.wanted_zone(request),
+            zone: self.preferred_zone(request),
         })
     }
 
-    /// The zone of the upstream that keeps the session's prompt, also while that is
-    /// cold. Else all stages would go to the other zones after a zone came back, and
-    /// its upstreams of stages, which are never cold, would have nothing to do.
-    fn wanted_zone(&self, request: &CallerRequest) -> Option<Name> {
+    /// The zone of the upstream that caches the session's prompt, even while that upstream
+    /// is cold. Otherwise all stages would run in the other zones after a zone came back, and
+    /// its stage upstreams, which are never cold, would stay idle.
+    fn preferred_zone(&self, request: &CallerRequest) -> Option<Name> {
         let prompt = request.head.prompt.as_ref()?;
         let (now, instances) = (self.state.now(), self.state.instance_count());
         let table = self.state.upstreams.load();
@@ -265,17 +264,17 @@
     }
 }
 
-/// When the stages of a request are given up: early enough for the request
-/// itself to run, and for its caller to hear of it while it still waits.
-fn give_up_at(request: &CallerRequest) -> MonoTime {
+/// The deadline of the stages of a request: early enough for the request itself to run, and
+/// for the caller to get a refusal before it abandons the request.
+fn stages_deadline(request: &CallerRequest) -> MonoTime {
     let route = request.route();
     let abandoned = route.objective * ABANDON_OBJECTIVES;
     let waited = abandoned.min(request.deadline.since(request.arrived));
-    request.arrived + waited * GIVE_UP_PERCENT / 100
+    request.arrived + waited * STAGES_PERCENT / 100
 }
 
 /// The name of a failure in logs and metrics.
-const fn name_of(failure: JobFailure) -> &'static str {
+const fn failure_name(failure: JobFailure) -> &'static str {
     match failure {
         JobFailure::WouldMiss(_) => "would-miss",
         JobFailure::TooLate => "too-late",
@@ -286,7 +285,7 @@
     }
 }
 
-fn refusal_of(failure: JobFailure) -> Refusal {
+fn refusal_for(failure: JobFailure) -> Refusal {
     let (kind, wait, detail) = match failure {
         JobFailure::WouldMiss(wait) => (
             RefusalKind::WouldMiss,
@@ -295,17 +294,17 @@
         ),
         JobFailure::TooLate => (
             RefusalKind::WouldMiss,
-            FAILED_PAUSE,
+            FAILED_RETRY,
             "the stages did not end before the deadline",
         ),
         JobFailure::NoUpstream => (
             RefusalKind::NoUpstream,
-            LISTED_AGAIN,
+            NO_UPSTREAM_RETRY,
             "no upstream does one of the stages",
         ),
         JobFailure::PieceFailed => (
             RefusalKind::Overloaded,
-            FAILED_PAUSE,
+            FAILED_RETRY,
             "a piece of a stage failed too often",
         ),
         JobFailure::Quarantined(left) => (
@@ -315,7 +314,7 @@
         ),
         JobFailure::Moved => (
             RefusalKind::Overloaded,
-            FAILED_PAUSE,
+            FAILED_RETRY,
             "the instance that does stages changed too often",
         ),
     };
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -1,4 +1,4 @@
-//! What all parts of the gateway share.
+//! The state that all parts of the gateway share.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -57,13 +57,13 @@
 use crate::upstream_table::SelectionFilter;
 use crate::upstream_table::UpstreamTable;
 
-/// How long an owner's word on its backlog counts: three heartbeats.
-const BACKLOG_LASTS: Duration = Duration::from_millis(1_200);
-/// Owners of a shard, limiters of an upstream or coordinators of the quarantine that are
-/// asked one after the other.
+/// How long the backlog that an owner reported is valid: three heartbeats.
+const BACKLOG_LIFETIME: Duration = Duration::from_millis(1_200);
+/// How many owners of a shard, limiters of an upstream or quarantine coordinators are tried
+/// in turn.
 const MAX_OWNERS: usize = 3;
 
-/// What all parts of the gateway share.
+/// The state that all parts of the gateway share.
 #[derive(Debug)]
 pub(crate) struct State {
     pub(crate) settings: GatewaySettings,
@@ -77,31 +77,31 @@
     pub(crate) shards: ArcSwap<ShardMap>,
     used_shards: Mutex<UsedShards>,
     pub(crate) metrics: Metrics,
-    /// What is held against requests.
+    /// The suspected and quarantined requests.
     pub(crate) quarantine: Quarantine,
-    /// What upstreams say of how much they take, permits for those that name a limit, and
-    /// when to ask for these again.
+    /// The rate limits of upstreams, the permits for rate-limited upstreams, and when to
+    /// request denied permits again.
     pub(crate) limits: Limits,
     pub(crate) limiters: Limiters,
     pub(crate) permit_retries: PermitRetries,
-    /// Which upstreams want nothing from this instance for a while.
+    /// The upstreams that asked this instance to back off.
     pub(crate) backoffs: UpstreamBackoffs,
     pub(crate) channels: PeerChannels,
-    /// Signals that other instances are to be told something at once.
+    /// Signals that heartbeats are to be sent to other instances now.
     pub(crate) heartbeat_requested: Arc<Signal>,
-    /// Signals that proof is to be asked for at once, and that the store is back.
+    /// Signals that a proof of freshness is to be requested now, and that the store is
+    /// available again.
     pub(crate) proof_requested: Signal,
     pub(crate) store_recovered: Signal,
-    /// Signals that another instance wants to hear everything while this one has read
-    /// nothing.
+    /// Signals that another instance requests all items while this one has not read the store.
     pub(crate) snapshot_requested: Signal,
-    /// Signals that this instance's entry was removed although it is there.
+    /// Signals that this instance's entry was removed while it is running.
     pub(crate) own_entry_removed: Signal,
-    /// Tells those that follow this instance that there is news.
+    /// Wakes the tasks that wait for updates, for the instances that follow this one.
     pub(crate) changes: Event,
-    /// What is told to instances that start.
+    /// The packed snapshot for instances that start.
     pub(crate) packed: Mutex<PackedPieces>,
-    /// Set once it is known which instances the store lists.
+    /// Set once the list of instances in the store is known.
     pub(crate) instances_listed: Latch,
     cluster: Mutex<ClusterState>,
     budgets: Mutex<HashMap<CompactString, RepeatBudget>>,
@@ -161,13 +161,13 @@
         lock(&self.cluster)
     }
 
-    /// How old the newest proof is that nothing in force is missing here.
+    /// The age of the newest proof that this instance has everything that is in force.
     pub(crate) fn proof_age(&self) -> Option<Duration> {
         self.cluster().freshness.age(self.now())
     }
 
-    /// For how long there has been no proof, at most since others were known from whom
-    /// it might have come.
+    /// For how long there has been no proof. Counted at most from the time at which the other
+    /// instances became known, which are a possible source of it.
     pub(crate) fn time_without_proof(&self) -> Duration {
         let now = self.now();
         let cluster = self.cluster();
@@ -175,7 +175,8 @@
         cluster.freshness.age(now).unwrap_or(now.since(since))
     }
 
-    /// True if this instance has no way to the store, neither its own nor another's.
+    /// True if this instance cannot reach the store, neither directly nor through another
+    /// instance.
     pub(crate) fn has_lost_store(&self) -> bool {
         let now = self.now();
         let cluster = self.cluster();
@@ -183,13 +184,13 @@
         own == SourceState::StoreAway || cluster.upstreams.is_store_away()
     }
 
-    /// True while requests may be sent on the strength of what is known here.
+    /// True while the proof of freshness is recent enough to serve requests.
     pub(crate) fn is_fresh(&self) -> bool {
         self.proof_age()
             .is_some_and(|age| age < self.settings.proof_lifetime)
     }
 
-    /// True if callers should come here.
+    /// True if callers may be directed to this instance.
     pub(crate) fn is_ready(&self) -> bool {
         !self.is_leaving() && self.router.load().is_some() && self.is_fresh()
     }
@@ -206,19 +207,19 @@
         self.in_flight.load(Ordering::Relaxed)
     }
 
-    /// How long pieces wait at the owner of a shard, as it last said. Old news is
-    /// none: an owner that is silent is not avoided for what it said before.
+    /// How long pieces wait at the owner of a shard, as last reported; none if the report has
+    /// expired, so that an owner is not avoided because of an old report.
     pub(crate) fn backlog(&self, shard: &Shard) -> Option<Duration> {
         let now = self.now();
         let cluster = self.cluster();
         match cluster.backlogs.get(shard) {
-            Some((heard, wait)) if now.since(*heard) < BACKLOG_LASTS => Some(*wait),
+            Some((heard, wait)) if now.since(*heard) < BACKLOG_LIFETIME => Some(*wait),
             _ => None,
         }
     }
 
-    /// The addresses of the first few instances in the order in which they are asked to
-    /// run stages. One that has just started anew goes on where its earlier start was.
+    /// The addresses of the first owners of a shard, in the order in which they are tried. A
+    /// restarted instance keeps the place of its earlier incarnation.
     pub(crate) fn owner_order(&self, shard: &Shard) -> Vec<SocketAddr> {
         let now = self.now();
         let cluster = self.cluster();
@@ -228,8 +229,8 @@
         order.into_iter().map(|e| e.peers).collect()
     }
 
-    /// Stages of a shard are asked for or done here, so that its owners are watched from
-    /// now on.
+    /// Records that this instance requests or runs stages of a shard, so that the owners of
+    /// the shard are watched from now on.
     pub(crate) fn mark_shard_used(&self, shard: &Shard) {
         if lock(&self.used_shards).note(self.now(), shard) {
             self.heartbeat_requested.notify();
@@ -241,8 +242,8 @@
         lock(&self.used_shards).watched(self.now(), &self.shards.load())
     }
 
-    /// The instances that coordinate the quarantine, the one that decides
-    /// first. They are the ones that read the store for the others.
+    /// The instances that coordinate the quarantine; the first one decides. The same instances
+    /// read the store for the others.
     pub(crate) fn coordinators(&self) -> Vec<SocketAddr> {
         self.owner_order(&Shard {
             zone: None,
@@ -251,13 +252,13 @@
         })
     }
 
-    /// True if this instance is the one that is asked first.
+    /// True if this instance is the first owner of a known shard.
     pub(crate) fn owns(&self, shard: &Shard) -> bool {
         let known = self.shards.load().has(shard);
         known && self.owner_order(shard).first() == Some(&self.own_entry.peers)
     }
 
-    /// From whom this instance hears what the store holds.
+    /// The source from which this instance receives store updates.
     pub(crate) fn news_source(&self) -> NewsSource {
         let now = self.now();
         let cluster = self.cluster();
@@ -265,7 +266,7 @@
         news_source(&self.own_entry, cluster.instances.live(now), state)
     }
 
-    /// True once everything that the store holds has been read.
+    /// True once the whole store has been read.
     pub(crate) fn store_loaded(&self) -> bool {
         self.cluster().mirror.revision() > StoreRevision::NOTHING
     }
@@ -276,37 +277,36 @@
         InFlight(Arc::clone(self))
     }
 
-    /// Instances that take callers, this one included.
+    /// The number of instances that accept callers, including this one.
     pub(crate) fn instance_count(&self) -> u32 {
         let now = self.now();
         let live = self.cluster().instances.live(now).count();
         u32::try_from(live + 1).unwrap_or(u32::MAX)
     }
 
-    /// This instance's place among all that are listed, for the upstream at an
-    /// address. By addresses, which outlive a start, and by all that are listed, so
-    /// that an instance that has just heard of the others does not take itself for
-    /// alone.
+    /// The rank of this instance among all listed instances, for the upstream at an address.
+    /// Computed from the addresses, which survive restarts, and over all listed instances, so
+    /// that an instance which has just learned of the others does not count itself as the only
+    /// one.
     pub(crate) fn fleet_place(&self, upstream: SocketAddr) -> FleetPlace {
-        let turn = |peers: SocketAddr| spread(spread_address(peers) ^ spread_address(upstream));
-        let own = turn(self.own_entry.peers);
+        let hash = |peers: SocketAddr| spread(spread_address(peers) ^ spread_address(upstream));
+        let own = hash(self.own_entry.peers);
         let cluster = self.cluster();
         let mut place = FleetPlace { rank: 0, of: 1 };
         for other in cluster.instances.entries() {
             place.of += 1;
-            place.rank += u32::from(turn(other.peers) < own);
+            place.rank += u32::from(hash(other.peers) < own);
         }
         place
     }
 
-    /// What the upstreams of a service bear while they are cold; none where that is
-    /// not bounded.
+    /// The cold-start limit of the upstreams of a service; none if they have no limit.
     pub(crate) fn cold_spec(&self, service: &str) -> Option<ColdSpec> {
         let router = self.router.load();
         router.as_ref()?.service(service)?.cold
     }
 
-    /// What a choice for a service asks of upstreams.
+    /// The filter for selecting an upstream of a service to send to.
     pub(crate) fn selection_filter(&self, service: &str) -> SelectionFilter<'_> {
         SelectionFilter {
             cold: self.cold_spec(service),
@@ -315,7 +315,8 @@
         }
     }
 
-    /// A choice that asks nothing of them: nothing is sent on the strength of it.
+    /// A filter that excludes only upstreams in backoff, for a selection after which nothing
+    /// is sent.
     pub(crate) fn unfiltered(&self) -> SelectionFilter<'_> {
         SelectionFilter {
             cold: None,
@@ -324,7 +325,7 @@
         }
     }
 
-    /// A request goes to a service for the first time.
+    /// Counts the first send of a request to a service, which adds to the retry budget.
     pub(crate) fn record_first_send(&self, service: &str) {
         let bound = self.repeat_bound();
         let now = self.now();
@@ -335,7 +336,7 @@
             .first(now, &bound);
     }
 
-    /// True if a request may go to a service once more.
+    /// Takes a retry from the budget of a service; false if the budget is used up.
     pub(crate) fn may_retry(&self, service: &str) -> bool {
         let bound = self.repeat_bound();
         let instances = self.instance_count() as usize;
@@ -347,15 +348,15 @@
         allowed
     }
 
-    /// True if the upstreams of a service work on pieces of stages.
+    /// True if the upstreams of a service run stage pieces.
     pub(crate) fn serves_stages(&self, service: &str) -> bool {
         let router = self.router.load();
         let mut services = router.iter().flat_map(|r| r.services());
         services.any(|s| s.name == service && s.batch.is_some())
     }
 
-    /// The connection of a run broke before its end. Nothing is held against its request
-    /// where its upstream was to leave: that was to come.
+    /// Reports that the connection of a run broke before its end. The request is not suspected
+    /// if its upstream was shutting down, since the upstream then ended as planned.
     pub(crate) fn report_broken_run(
         &self,
         upstream: UpstreamRef,
@@ -373,7 +374,7 @@
         });
     }
 
-    /// Lays the upstreams out anew after their entries changed.
+    /// Rebuilds the table of upstreams after their entries changed.
     pub(crate) fn rebuild_upstreams(&self) {
         let now = self.now();
         let zone = &self.settings.zone;
@@ -381,19 +382,19 @@
         let entries = cluster.upstreams.entries();
         let before = self.upstreams.load_full();
         let next = before.rebuilt(now, entries, &cluster.evacuated_zones, zone);
-        let started_again = next.notify_restarts(&before);
+        let restarted = next.notify_restarts(&before);
         let start_of = |id: &str| next.start_of(id);
         self.limits.forget_gone(now, start_of, &self.metrics);
         self.upstreams.store(Arc::new(next));
         drop(cluster);
-        for address in started_again {
+        for address in restarted {
             self.upstream_client.close_idle(address);
         }
         self.rebuild_shards();
     }
 
-    /// Divides the upstreams of stages among owners anew, after they or the
-    /// services that do stages changed.
+    /// Rebuilds the division of stage upstreams into shards, after the upstreams or the
+    /// services that run stages changed.
     pub(crate) fn rebuild_shards(&self) {
         let router = self.router.load();
         let Some(router) = router.as_ref() else {
@@ -417,7 +418,7 @@
     }
 }
 
-/// A request in flight.
+/// Counts a request as in flight until it is dropped.
 #[derive(Debug)]
 pub(crate) struct InFlight(Arc<State>);
 
--- a/crates/gateway/src/streaming_call.rs
+++ b/crates/gateway/src/streaming_call.rs
@@ -1,4 +1,4 @@
-//! Requests whose answer is a stream of events.
+//! Requests whose response is a stream of events.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -29,69 +29,78 @@
 use crate::upstream_selection::reserve_upstream;
 use crate::upstream_selection::send_to_next_upstream;
 
-/// Upstreams that one request is offered to, those that proved that they did
-/// nothing included.
-const MAX_OFFERS: usize = 4;
-/// When to come back after every upstream was full.
-const FULL_PAUSE: Duration = Duration::from_millis(500);
-/// The largest failure of an upstream that is passed on, in bytes.
-const MAX_FAILURE: usize = 1 << 20;
-/// How long an upstream may take to begin an answer that another could begin
-/// as well. Several times what the longest prompts of the users take to read.
-const BEGIN_WITHIN: Duration = Duration::from_millis(2_500);
+/// The largest number of upstreams that one request is sent to, including those that proved
+/// that they did not run it.
+const MAX_ATTEMPTS: usize = 4;
+/// The retry time if every upstream was full.
+const FULL_RETRY: Duration = Duration::from_millis(500);
+/// The largest error response of an upstream that is passed on, in bytes.
+const MAX_ERROR_BODY: usize = 1 << 20;
+/// How long an upstream may take to begin a response that another upstream could also give.
+/// Several times the time to read the longest prompts.
+const RESPONSE_START_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Runs a request whose answer is a stream: its stages, then the request.
+/// Runs a request whose response is a stream: first its stages, then the request itself.
 pub(crate) async fn run(
     state: &Arc<State>,
     stages: &Arc<StageRunner>,
     request: CallerRequest,
 ) -> Result<Response<Body>, Refusal> {
-    let mut retries = RetryState::new(FULL_PAUSE);
+    let mut retries = RetryState::new(FULL_RETRY);
     if request.has_stages() {
         reserve_upstream(state, &request, &mut retries).await?;
     }
     let mut results = stages.run(&request).await?;
-    let mut stages_repeated = false;
+    let mut stages_rerun = false;
     state.record_first_send(&request.service);
     loop {
         let last = request.head.last_event;
-        let written = Signal::new();
+        let request_written = Signal::new();
         let handles = results.handles();
-        let patience = |runs| patience(&request, state, runs);
-        let note = || written.notify();
-        let sending =
-            send_to_next_upstream(state, &request, &mut retries, handles, last, patience, note);
-        let sent = sending.or(results.release_when_read(&written)).await;
+        let timeout = |runs| attempt_timeout(&request, state, runs);
+        let on_write = || request_written.notify();
+        let sending = send_to_next_upstream(
+            state,
+            &request,
+            &mut retries,
+            handles,
+            last,
+            timeout,
+            on_write,
+        );
+        let sent = sending
+            .or(results.release_when_read(&request_written))
+            .await;
         let failure = match sent {
             Ok(answer) => {
                 retries.possible_runs += 1;
-                return begin(state, stages, request, answer, results, retries).await;
+                return begin_response(state, stages, request, answer, results, retries).await;
             }
             Err(NextSendError::Refused(refusal)) => return Err(refusal),
             Err(NextSendError::Failed(failure)) => failure,
         };
-        let proved = failure.outcome.run_state() == RunState::NotRun;
-        retries.possible_runs += u32::from(!proved);
+        let proved_not_run = failure.outcome.run_state() == RunState::NotRun;
+        retries.possible_runs += u32::from(!proved_not_run);
         let runs = retries.possible_runs;
-        if failure.inputs_gone && !stages_repeated {
-            stages_repeated = true;
+        if failure.inputs_gone && !stages_rerun {
+            stages_rerun = true;
             retries.tried.pop();
-            let again = stages.run(&request).await;
-            results = again.map_err(|refusal| after_runs(runs, refusal))?;
+            let rerun = stages.run(&request).await;
+            results = rerun.map_err(|refusal| after_runs(runs, refusal))?;
             continue;
         }
-        let allowed = match request.route().repeat {
-            _ if proved => retries.tried.len() < MAX_OFFERS,
+        let retryable = match request.route().repeat {
+            _ if proved_not_run => retries.tried.len() < MAX_ATTEMPTS,
             Repeat::Resumable => runs < request.route().max_attempts,
             _ => false,
         };
-        if !allowed || !state.may_retry(&request.service) {
-            return Err(no_more(state, &request, runs, &failure));
+        if !retryable || !state.may_retry(&request.service) {
+            return Err(final_refusal(state, &request, runs, &failure));
         }
     }
 }
 
-async fn begin(
+async fn begin_response(
     state: &Arc<State>,
     stages: &Arc<StageRunner>,
     request: CallerRequest,
@@ -122,7 +131,7 @@
         }
         false => {
             state.metrics.request("failed", took);
-            failure_body(state, &request, answer).await?
+            error_body(state, &request, answer).await?
         }
     };
     let mut res = Response::new(body);
@@ -131,14 +140,14 @@
     Ok(res)
 }
 
-async fn failure_body(
+async fn error_body(
     state: &State,
     request: &CallerRequest,
     answer: UpstreamResponse,
 ) -> Result<Body, Refusal> {
     let mut attempt = answer.attempt;
     let left = request.time_left(state.now());
-    let read = within(left, answer.response.whole(MAX_FAILURE)).await;
+    let read = within(left, answer.response.whole(MAX_ERROR_BODY)).await;
     if let Some(Ok(_)) = &read {
         attempt.mark_completed();
     }
@@ -152,7 +161,7 @@
     }
 }
 
-/// A refusal as it is once something may have run: it must not say otherwise.
+/// Changes a refusal to say that the request may have run, if it was sent before.
 fn after_runs(runs: u32, refusal: Refusal) -> Refusal {
     match runs {
         0 => refusal,
@@ -160,22 +169,27 @@
     }
 }
 
-fn patience(request: &CallerRequest, state: &State, runs: u32) -> Duration {
+fn attempt_timeout(request: &CallerRequest, state: &State, runs: u32) -> Duration {
     let left = request.time_left(state.now());
-    let repeats =
+    let retryable =
         request.route().repeat == Repeat::Resumable && runs + 1 < request.route().max_attempts;
-    match repeats {
-        true => left.min(BEGIN_WITHIN),
+    match retryable {
+        true => left.min(RESPONSE_START_TIMEOUT),
         false => left,
     }
 }
 
-fn no_more(state: &State, request: &CallerRequest, runs: u32, failure: &AttemptFailure) -> Refusal {
+fn final_refusal(
+    state: &State,
+    request: &CallerRequest,
+    runs: u32,
+    failure: &AttemptFailure,
+) -> Refusal {
     let detail = failure.detail.as_str();
     match (runs, failure.outcome) {
         (0, _) => {
             let wait = backoff_retry_after(state, &request.service);
-            Refusal::not_run(RefusalKind::Overloaded, detail).after(wait.unwrap_or(FULL_PAUSE))
+            Refusal::not_run(RefusalKind::Overloaded, detail).after(wait.unwrap_or(FULL_RETRY))
         }
         (_, AttemptOutcome::Silent | AttemptOutcome::TimedOut) => {
             may_have_run(RefusalKind::DeadlinePassed, detail)
--- a/crates/gateway/src/unary_call.rs
+++ b/crates/gateway/src/unary_call.rs
@@ -1,4 +1,4 @@
-//! Requests with one answer.
+//! Requests with a single, complete response.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -28,103 +28,103 @@
 use crate::upstream_selection::backoff_retry_after;
 use crate::upstream_selection::send_to_next_upstream;
 
-/// The largest answer that is held in memory, in bytes.
-const MAX_ANSWER: usize = 8 << 20;
-/// Upstreams that one request is offered to, those that proved that they did
-/// nothing included.
-const MAX_OFFERS: usize = 4;
-/// When to come back after every upstream was full: about one answer later.
-const FULL_PAUSE: Duration = Duration::from_millis(60);
+/// The largest response that is held in memory, in bytes.
+const MAX_RESPONSE: usize = 8 << 20;
+/// The largest number of upstreams that one request is sent to, including those that proved
+/// that they did not run it.
+const MAX_ATTEMPTS: usize = 4;
+/// The retry time if every upstream was full: about the duration of one response.
+const FULL_RETRY: Duration = Duration::from_millis(60);
 
-/// Runs a request with one answer.
+/// Runs a request with a single response, with retries where its route allows them.
 pub(crate) async fn run(
     state: &Arc<State>,
     request: CallerRequest,
 ) -> Result<Response<Body>, Refusal> {
-    let mut retries = RetryState::new(FULL_PAUSE);
-    // An upstream's own failure, in case nothing better comes.
-    let mut failed: Option<Whole> = None;
+    let mut retries = RetryState::new(FULL_RETRY);
+    // An error response of an upstream, passed on if no later attempt succeeds.
+    let mut error_response: Option<CompleteResponse> = None;
     state.record_first_send(&request.service);
     loop {
-        let patience = |runs| patience(&request, state.now(), runs);
+        let timeout = |runs| attempt_timeout(&request, state.now(), runs);
         let sending =
-            send_to_next_upstream(state, &request, &mut retries, &[], None, patience, || {});
-        let sent = match (sending.await, failed.take()) {
+            send_to_next_upstream(state, &request, &mut retries, &[], None, timeout, || {});
+        let attempted = match (sending.await, error_response.take()) {
             (Ok(answer), kept) => {
-                failed = kept;
+                error_response = kept;
                 Ok(answer)
             }
             (Err(NextSendError::Failed(failure)), kept) => {
-                failed = kept;
+                error_response = kept;
                 Err(failure)
             }
-            (Err(NextSendError::Refused(_)), Some(whole)) => {
-                return Ok(pass_on(state, &request, whole));
+            (Err(NextSendError::Refused(_)), Some(complete)) => {
+                return Ok(pass_on(state, &request, complete));
             }
             (Err(NextSendError::Refused(refusal)), None) => return Err(refusal),
         };
-        let ended = match sent {
-            Ok(answer) => read_whole(state, &request, answer).await,
+        let result = match attempted {
+            Ok(answer) => read_complete(state, &request, answer).await,
             Err(failure) => Err(failure),
         };
-        let failure = match ended {
-            Ok(whole) if !whole.status.is_server_error() => {
-                return Ok(pass_on(state, &request, whole));
+        let failure = match result {
+            Ok(complete) if !complete.status.is_server_error() => {
+                return Ok(pass_on(state, &request, complete));
             }
-            Ok(whole) => {
-                failed = Some(whole);
+            Ok(complete) => {
+                error_response = Some(complete);
                 None
             }
             Err(failure) => Some(failure),
         };
-        let proved = failure
+        let proved_not_run = failure
             .as_ref()
             .is_some_and(|f| f.outcome.run_state() == RunState::NotRun);
-        retries.possible_runs += u32::from(!proved);
+        retries.possible_runs += u32::from(!proved_not_run);
         let runs = retries.possible_runs;
-        let allowed = match request.route().repeat {
-            _ if proved => retries.tried.len() < MAX_OFFERS,
+        let retryable = match request.route().repeat {
+            _ if proved_not_run => retries.tried.len() < MAX_ATTEMPTS,
             Repeat::Idempotent => runs < request.route().max_attempts,
             _ => false,
         };
-        if allowed && state.may_retry(&request.service) {
+        if retryable && state.may_retry(&request.service) {
             continue;
         }
-        return match (failed, failure) {
-            (Some(whole), _) => Ok(pass_on(state, &request, whole)),
-            (None, Some(f)) => Err(no_more(
+        return match (error_response, failure) {
+            (Some(complete), _) => Ok(pass_on(state, &request, complete)),
+            (None, Some(f)) => Err(final_refusal(
                 state,
                 &request,
                 runs,
-                kind_of(&f),
+                refusal_kind(&f),
                 f.detail.as_str(),
             )),
             (None, None) => {
                 let kind = RefusalKind::UpstreamFailed;
-                Err(no_more(state, &request, runs, kind, "no answer"))
+                Err(final_refusal(state, &request, runs, kind, "no answer"))
             }
         };
     }
 }
 
-/// An upstream's answer, read whole.
+/// A complete response of an upstream.
 #[derive(Debug)]
-struct Whole {
+struct CompleteResponse {
     upstream: CompactString,
-    /// When it was sent there, in milliseconds after it had come.
+    /// The time from the arrival of the request to the attempt, in milliseconds.
     sent_ms: u64,
     status: StatusCode,
     headers: HeaderMap,
     body: Bytes,
 }
 
-/// Reads the answer whole before a byte of it is passed on, so that one that is
-/// cut off can be tried again or become an honest failure.
-async fn read_whole(
+/// Reads the whole response before any of it is passed on, so that after a truncated response
+/// the request can be retried or refused with a correct status.
+async fn read_complete(
     state: &State,
     request: &CallerRequest,
     answer: UpstreamResponse,
-) -> Result<Whole, AttemptFailure> {
+) -> Result<CompleteResponse, AttemptFailure> {
     let UpstreamResponse {
         head,
         response,
@@ -132,11 +132,13 @@
     } = answer;
     let headers = state.dialect.caller_headers(&response.headers);
     let left = request.time_left(state.now());
-    let over = async {
+    let restarted = async {
         attempt.until_restarted().await;
         Some(Err(SendError::Broken))
     };
-    let read = within(left, response.whole(MAX_ANSWER)).or(over).await;
+    let read = within(left, response.whole(MAX_RESPONSE))
+        .or(restarted)
+        .await;
     let (outcome, detail) = match read {
         Some(Ok(body)) => {
             attempt.mark_completed();
@@ -144,7 +146,7 @@
                 true => AttemptOutcome::Failed,
                 false => AttemptOutcome::Answered,
             });
-            return Ok(Whole {
+            return Ok(CompleteResponse {
                 upstream: attempt.id().into(),
                 sent_ms: attempt.sent_ms(request),
                 status: head.status,
@@ -167,39 +169,39 @@
     })
 }
 
-fn pass_on(state: &State, request: &CallerRequest, whole: Whole) -> Response<Body> {
+fn pass_on(state: &State, request: &CallerRequest, complete: CompleteResponse) -> Response<Body> {
     let took = state.now().since(request.arrived);
     state.metrics.request("answered", took);
     log::info!(
         request = request.id(),
             content:% = request.content,
         route = request.route().name.as_str(),
-        upstream = whole.upstream.as_str(),
-        status = whole.status.as_u16(),
+        upstream = complete.upstream.as_str(),
+        status = complete.status.as_u16(),
         config = request.router.version,
-        sent_ms = whole.sent_ms,
+        sent_ms = complete.sent_ms,
         ms = took.as_millis() as u64;
         "answered"
     );
-    let mut res = Response::new(jd_net::full(whole.body));
-    *res.status_mut() = whole.status;
-    *res.headers_mut() = whole.headers;
+    let mut res = Response::new(jd_net::full(complete.body));
+    *res.status_mut() = complete.status;
+    *res.headers_mut() = complete.headers;
     res
 }
 
-/// How long to wait for an upstream. What may run again leaves half of its time
-/// for that; what may not waits as long as its caller does.
-fn patience(request: &CallerRequest, now: jd_types::MonoTime, runs: u32) -> Duration {
+/// How long to wait for an upstream: half of the time left if the request may be retried
+/// after that, and all of it otherwise.
+fn attempt_timeout(request: &CallerRequest, now: jd_types::MonoTime, runs: u32) -> Duration {
     let left = request.time_left(now);
-    let repeats =
+    let retryable =
         request.route().repeat == Repeat::Idempotent && runs + 1 < request.route().max_attempts;
-    match repeats {
+    match retryable {
         true => left / 2,
         false => left,
     }
 }
 
-fn kind_of(failure: &AttemptFailure) -> RefusalKind {
+fn refusal_kind(failure: &AttemptFailure) -> RefusalKind {
     match failure.outcome {
         AttemptOutcome::NotRun | AttemptOutcome::Unreachable => RefusalKind::Overloaded,
         AttemptOutcome::TimedOut | AttemptOutcome::Silent => RefusalKind::DeadlinePassed,
@@ -207,9 +209,9 @@
     }
 }
 
-/// The refusal of what will not be tried again. It says that nothing ran only
-/// if every send proved so.
-fn no_more(
+/// The refusal of a request that is not retried any more. It says that the request did not
+/// run only if every attempt proved that.
+fn final_refusal(
     state: &State,
     request: &CallerRequest,
     runs: u32,
@@ -217,17 +219,17 @@
     detail: &str,
 ) -> Refusal {
     match (runs, kind) {
-        (0, RefusalKind::DeadlinePassed) => over(0, detail),
+        (0, RefusalKind::DeadlinePassed) => deadline_refusal(0, detail),
         (0, kind) => {
             let wait = backoff_retry_after(state, &request.service);
-            Refusal::not_run(kind, detail).after(wait.unwrap_or(FULL_PAUSE))
+            Refusal::not_run(kind, detail).after(wait.unwrap_or(FULL_RETRY))
         }
-        (_, RefusalKind::DeadlinePassed) => over(runs, detail),
+        (_, RefusalKind::DeadlinePassed) => deadline_refusal(runs, detail),
         _ => may_have_run(RefusalKind::UpstreamFailed, detail),
     }
 }
 
-fn over(runs: u32, detail: &str) -> Refusal {
+fn deadline_refusal(runs: u32, detail: &str) -> Refusal {
     match runs {
         0 => Refusal::not_run(RefusalKind::WouldMiss, detail),
         _ => may_have_run(RefusalKind::DeadlinePassed, detail),
--- a/crates/gateway/src/upstream_backoffs.rs
+++ b/crates/gateway/src/upstream_backoffs.rs
@@ -1,4 +1,4 @@
-//! What upstreams say in their answers of what may be sent to them next.
+//! Backoffs of upstreams, and the notices in upstream responses that limit further sends.
 
 use std::net::SocketAddr;
 use std::sync::Mutex;
@@ -20,19 +20,18 @@
 use crate::run_events::UpstreamRef;
 use crate::state::State;
 
-/// Which upstreams want nothing from this instance for a while, on the path of every
-/// request.
+/// The upstreams that asked this instance to back off. Read for every request.
 #[derive(Debug, Default)]
 pub(crate) struct UpstreamBackoffs {
-    /// True while any of them does: without, no request waits for the lock.
+    /// True while there is any backoff. While there is none, requests do not take the lock.
     any: AtomicBool,
     backoffs: Mutex<Backoffs>,
-    /// The upstream whose wait could not be read last, so that it is logged once.
+    /// The upstream whose retry time was unreadable last, so that it is logged once.
     unreadable: Mutex<Option<CompactString>>,
 }
 
 impl UpstreamBackoffs {
-    /// How much longer an upstream wants nothing; none if it takes requests.
+    /// The time until the backoff of an upstream ends; none if the upstream accepts requests.
     pub(crate) fn backoff(
         &self,
         now: MonoTime,
@@ -46,7 +45,7 @@
         }
     }
 
-    /// Forgets upstreams that take requests again.
+    /// Removes backoffs that have ended.
     pub(crate) fn expire(&self, now: MonoTime) {
         if self.any.load(Ordering::Relaxed) {
             let mut backoffs = lock(&self.backoffs);
@@ -55,16 +54,16 @@
         }
     }
 
-    fn note_unreadable(&self, upstream: &UpstreamRef, e: &RetryAfterError) {
+    fn log_unreadable(&self, upstream: &UpstreamRef, e: &RetryAfterError) {
         let id = &upstream.id;
         let mut last = lock(&self.unreadable);
         if last.as_ref() != Some(id) {
-            log::warn!(upstream = id.as_str(), error:% = e; "wait that an upstream asks for cannot be read; it counts as none");
+            log::warn!(upstream = id.as_str(), error:% = e; "retry time in the response of an upstream cannot be read; ignored");
             *last = Some(id.clone());
         }
     }
 
-    fn back_off(
+    fn start(
         &self,
         now: MonoTime,
         upstream: &UpstreamRef,
@@ -81,7 +80,7 @@
     }
 }
 
-/// Reads what an answer of an upstream says of what may be sent to it next.
+/// Applies the notices in the headers of a response: rate limit, shutdown and backoff.
 pub(crate) fn apply_response_notices(
     state: &State,
     upstream: &UpstreamRef,
@@ -92,53 +91,53 @@
         status, headers, ..
     } = response;
     if *status == StatusCode::MISDIRECTED_REQUEST {
-        // What else it says is not of the one that was asked.
-        return note_misdirected(state, upstream);
+        // The other notices are of the upstream that has the address now, not of `upstream`.
+        return apply_misdirected(state, upstream);
     }
     state
         .limits
         .note_answer(now, upstream, dialect, headers, &state.metrics);
     if dialect.announces_leaving(headers) && !upstream.id.is_empty() {
-        note_leaving(state, upstream);
+        apply_leaving(state, upstream);
     }
     match dialect.retry_after(*status, headers) {
         Ok(None) => {}
-        Ok(Some(wait)) => note_backoff(state, upstream, wait),
-        Err(e) => state.backoffs.note_unreadable(upstream, &e),
+        Ok(Some(wait)) => apply_backoff(state, upstream, wait),
+        Err(e) => state.backoffs.log_unreadable(upstream, &e),
     }
 }
 
-fn note_leaving(state: &State, upstream: &UpstreamRef) {
+fn apply_leaving(state: &State, upstream: &UpstreamRef) {
     let (now, id) = (state.now(), upstream.id.as_str());
     let mut cluster = state.cluster();
-    let news = cluster.upstreams.says_leaving(now, id, upstream.start);
+    let changed = cluster.upstreams.says_leaving(now, id, upstream.start);
     drop(cluster);
-    if !news {
+    if !changed {
         return;
     }
     state.rebuild_upstreams();
     state.metrics.notice("leaving");
-    log::info!(upstream = id, address:% = upstream.address; "upstream says in an answer that it leaves");
+    log::info!(upstream = id, address:% = upstream.address; "upstream announced its shutdown in a response");
 }
 
-fn note_misdirected(state: &State, upstream: &UpstreamRef) {
+fn apply_misdirected(state: &State, upstream: &UpstreamRef) {
     let UpstreamRef {
         id, start, address, ..
     } = upstream;
     let now = state.now();
     let mut cluster = state.cluster();
-    let news = cluster.upstreams.is_elsewhere(now, id, *start, *address);
+    let changed = cluster.upstreams.is_elsewhere(now, id, *start, *address);
     drop(cluster);
-    if news {
+    if changed {
         state.rebuild_upstreams();
         state.metrics.notice("misdirected");
-        log::info!(upstream = id.as_str(), address:%; "another upstream has the address; this one is left until its entry is written again");
+        log::info!(upstream = id.as_str(), address:%; "another upstream has the address; this one is avoided until its entry is written again");
     }
 }
 
-fn note_backoff(state: &State, upstream: &UpstreamRef, wait: RetryAfter) {
+fn apply_backoff(state: &State, upstream: &UpstreamRef, wait: RetryAfter) {
     let place = state.fleet_place(upstream.address);
-    let longer = state.backoffs.back_off(state.now(), upstream, wait, place);
+    let longer = state.backoffs.start(state.now(), upstream, wait, place);
     state.metrics.notice("backoff");
     let wait_ms = u64::try_from(wait.wait().as_millis()).unwrap_or(u64::MAX);
     log::info!(
@@ -146,6 +145,6 @@
         service = upstream.service.as_str(),
         wait_ms,
         longer;
-        "upstream wants nothing for a while"
+        "upstream asked for a backoff"
     );
 }
--- a/crates/gateway/src/upstream_client.rs
+++ b/crates/gateway/src/upstream_client.rs
@@ -1,4 +1,4 @@
-//! The one way from this instance to an upstream.
+//! Sends requests to upstreams, after checking that each may be sent.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,33 +22,33 @@
 use crate::state::State;
 use crate::upstream_backoffs::apply_response_notices;
 
-/// How long a permit for an upstream that names a limit lasts. Used later, it would
-/// arrive together with those that were given out meanwhile.
-const PERMIT_LASTS: Duration = Duration::from_millis(500);
-/// How long one lasts that was asked for before the stages of its request.
-const RESERVED_LASTS: Duration = Duration::from_secs(2);
+/// How long a permit for a rate-limited upstream is valid. A permit that was used later
+/// would reach the upstream together with permits that were granted in the meantime.
+const PERMIT_VALIDITY: Duration = Duration::from_millis(500);
+/// How long a permit is valid that was requested before the stages of its request ran.
+const RESERVED_PERMIT_VALIDITY: Duration = Duration::from_secs(2);
 
-/// What is sent to an upstream.
+/// The purpose of a request to an upstream, which decides what limits it.
 #[derive(Debug, Clone)]
 pub(crate) enum SendPurpose {
     /// A caller's request.
     Request {
-        /// What it is.
+        /// Identifies the content of the request, for the quarantine.
         content: Content,
-        /// Its rank; 0 is the most urgent.
+        /// Its priority; 0 is the most urgent.
         priority: u8,
-        /// What is known of the upstream's last start.
+        /// The cold-start state of the upstream.
         cold: Arc<Mutex<ColdStart>>,
     },
-    /// A call for pieces of stages.
+    /// A batch of stage pieces.
     Pieces,
-    /// A question for room, or results that are given up. It goes to upstreams that leave
-    /// as well.
+    /// A query for free result storage, or the release of results. These are also sent to
+    /// upstreams that are shutting down.
     Maintenance,
 }
 
 impl SendPurpose {
-    /// How urgent it is, 0 most of all; none for what no permit is asked for.
+    /// The priority of the permit, 0 being the most urgent; none if no permit is required.
     fn priority(&self) -> Option<u8> {
         match self {
             SendPurpose::Request { priority, .. } => Some(*priority),
@@ -58,43 +58,43 @@
     }
 }
 
-/// Leave to send one request to one upstream. Only the gate makes it, and sending uses
-/// it up.
+/// Permission to send one request to one upstream. Only [`UpstreamClient`] creates
+/// permits, and sending consumes them.
 #[derive(Debug)]
 pub(crate) struct SendPermit {
     to: UpstreamRef,
     purpose: SendPurpose,
-    /// When it was given out for an upstream that names a limit; none if it named none.
-    limited: Option<MonoTime>,
-    /// How long it lasts in that case.
-    lasts: Duration,
+    /// When the permit was granted, if the upstream is rate limited.
+    granted_at: Option<MonoTime>,
+    /// How long the permit of a rate-limited upstream is valid.
+    validity: Duration,
 }
 
-/// Why something was not sent, though it could have been.
+/// Why this instance did not send a request to a reachable upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Withheld {
-    /// In words.
+    /// The reason, as logged.
     pub(crate) reason: &'static str,
-    /// How long until it may be asked again, where the upstream names a limit or wants
-    /// nothing for a while.
+    /// How long until the upstream may be tried again, if a rate limit or a backoff is
+    /// the reason.
     pub(crate) retry_after: Option<Duration>,
 }
 
-/// Why a send brought no answer.
+/// Why a request got no response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum SendFailure {
-    /// Nothing was sent, since it may not be any more.
+    /// The request was not sent, because a check failed.
     Withheld(Withheld),
     /// No connection could be opened.
     ConnectFailed,
-    /// The connection broke.
+    /// The connection broke before the response.
     ConnectionLost,
-    /// Nothing came back in time.
+    /// No response arrived in time.
     TimedOut,
 }
 
-/// The one way from this instance to an upstream. Nothing else holds connections to
-/// upstreams, so that what bounds a send is asked for here, whichever way it takes.
+/// Sends requests to upstreams. All connections to upstreams are in this pool, so that
+/// rate limits, backoffs, the quarantine and cold-start limits are checked for every send.
 #[derive(Debug)]
 pub(crate) struct UpstreamClient {
     pool: HttpPool,
@@ -105,7 +105,8 @@
         UpstreamClient { pool }
     }
 
-    /// Leave to send something to an upstream.
+    /// Requests permission to send to an upstream. Asks the limiter of the upstream if the
+    /// upstream is rate limited.
     pub(crate) async fn permit(
         &self,
         state: &State,
@@ -115,8 +116,8 @@
         let notice = state.limits.of(&to.id);
         let notice = notice.filter(|n| n.limit.is_some());
         let permit = SendPermit {
-            limited: notice.map(|_| state.now()),
-            lasts: PERMIT_LASTS,
+            granted_at: notice.map(|_| state.now()),
+            validity: PERMIT_VALIDITY,
             to,
             purpose,
         };
@@ -126,46 +127,50 @@
         };
         let asked = state.limiters.ask(state, &permit.to, notice, priority);
         if let Err(wait) = asked.await {
-            state.permit_retries.note(state.now(), &permit.to.id, wait);
+            state
+                .permit_retries
+                .record_denied(state.now(), &permit.to.id, wait);
             return Err(Withheld {
                 reason: "the upstream takes no more for now",
                 retry_after: Some(wait),
             });
         }
-        let limited = Some(state.now());
-        Ok(SendPermit { limited, ..permit })
+        let granted_at = Some(state.now());
+        Ok(SendPermit {
+            granted_at,
+            ..permit
+        })
     }
 
-    /// Sends a request and waits at most `patience` for the head of its answer. What
-    /// bounds sends is looked at again once a connection is there to take it, and
-    /// `written` is called after that.
-    ///
-    /// Guards against requests that are sent to an upstream which was left while they
-    /// waited for a connection.
+    /// Sends a request and waits at most `timeout` for the head of its response. The checks
+    /// are repeated once a connection is available, and `on_write` is called after they
+    /// pass. Without the second check, a request that waits for a connection would be sent
+    /// to an upstream that was removed in the meantime.
     pub(crate) async fn send(
         &self,
         state: &State,
         permit: SendPermit,
         req: Request<Body>,
-        patience: Duration,
-        written: impl Fn(),
+        timeout: Duration,
+        on_write: impl Fn(),
     ) -> Result<HttpResponse, SendFailure> {
         let withheld = Mutex::new(None);
         let counted = AtomicBool::new(false);
         let may_send = || {
-            // A request that a dead connection hands back is counted once.
+            // The pool calls this again for a request that it retries after a dead
+            // connection; the request is counted once.
             let checked = match counted.swap(true, Ordering::Relaxed) {
-                true => permit.check_without_cold(state),
-                false => permit.use_up(state),
+                true => permit.check_current(state),
+                false => permit.consume(state),
             };
             match checked {
-                Ok(()) => written(),
+                Ok(()) => on_write(),
                 Err(why) => *lock(&withheld) = Some(why),
             }
             checked.is_ok()
         };
         let pool = &self.pool;
-        let sent = pool.send_if(permit.to.address, req, patience, false, may_send);
+        let sent = pool.send_if(permit.to.address, req, timeout, false, may_send);
         let sent = sent.await;
         match (sent, lock(&withheld).take()) {
             (_, Some(why)) => Err(SendFailure::Withheld(why)),
@@ -179,40 +184,43 @@
         }
     }
 
-    /// Closes idle connections to an address.
+    /// Closes idle connections to `address`.
     pub(crate) fn close_idle(&self, address: SocketAddr) {
         self.pool.forget(address);
     }
 
-    /// Whether anybody answers at an address. Nothing is asked there.
+    /// Tests whether a connection to `address` can be opened. Sends no request.
     pub(crate) async fn probe(&self, address: SocketAddr) -> Probe {
         self.pool.probe(address).await
     }
 }
 
 impl SendPermit {
-    /// The same permit, kept while the stages of its request are done.
+    /// The same permit with the longer validity that covers the stages of its request.
     pub(crate) fn reserved(self) -> SendPermit {
         SendPermit {
-            lasts: RESERVED_LASTS,
+            validity: RESERVED_PERMIT_VALIDITY,
             ..self
         }
     }
 
-    /// Whether it may be sent, by what is known now.
+    /// Checks whether the request may be sent now, including the cold-start limit.
     fn check(&self, state: &State) -> Result<(), Withheld> {
-        self.check_without_cold(state)?;
+        self.check_current(state)?;
         match &self.purpose {
-            SendPurpose::Request { cold, .. } if !self.bears(state, cold) => Err(Withheld {
-                reason: "the upstream has just started and bears no more",
-                retry_after: None,
-            }),
+            SendPurpose::Request { cold, .. } if !self.has_cold_capacity(state, cold) => {
+                Err(Withheld {
+                    reason: "the upstream has just started and bears no more",
+                    retry_after: None,
+                })
+            }
             _ => Ok(()),
         }
     }
 
-    /// Whether anything was heard since the upstream was chosen that forbids it.
-    fn check_without_cold(&self, state: &State) -> Result<(), Withheld> {
+    /// Checks backoff, listing, quarantine and permit against the current state, which may
+    /// have changed since the upstream was selected.
+    fn check_current(&self, state: &State) -> Result<(), Withheld> {
         let now = state.now();
         let withheld = |reason| {
             Err(Withheld {
@@ -220,7 +228,7 @@
                 retry_after: None,
             })
         };
-        let ask_anew = |reason| {
+        let request_again = |reason| {
             let wait = Some(Duration::ZERO);
             Err(Withheld {
                 reason,
@@ -242,7 +250,7 @@
             table.lists_at(&self.to.id, self.to.address)
         };
         match &self.purpose {
-            // Room for its results is the least of its needs, and they lapse.
+            // Storage is not worth a part of the rate limit: results expire by themselves.
             SendPurpose::Maintenance if is_limited => withheld("the upstream names a limit"),
             SendPurpose::Maintenance => Ok(()),
             SendPurpose::Request { .. } | SendPurpose::Pieces if !listed() => {
@@ -253,17 +261,18 @@
             {
                 withheld("the request ends upstreams")
             }
-            SendPurpose::Request { .. } | SendPurpose::Pieces => match self.limited {
+            SendPurpose::Request { .. } | SendPurpose::Pieces => match self.granted_at {
                 _ if !is_limited => Ok(()),
-                None => ask_anew("the upstream names a limit by now"),
-                Some(at) if now.since(at) > self.lasts => ask_anew("the permit has lapsed"),
+                None => request_again("the upstream names a limit by now"),
+                Some(at) if now.since(at) > self.validity => request_again("the permit has lapsed"),
                 Some(_) => Ok(()),
             },
         }
     }
 
-    /// Looks once more whether it may be sent, and counts it.
-    fn use_up(&self, state: &State) -> Result<(), Withheld> {
+    /// Checks once more whether the request may be sent, and counts it against the
+    /// cold-start limit.
+    fn consume(&self, state: &State) -> Result<(), Withheld> {
         self.check(state)?;
         if let SendPurpose::Request { cold, .. } = &self.purpose
             && let Some(spec) = state.cold_spec(&self.to.service)
@@ -273,8 +282,9 @@
         Ok(())
     }
 
-    /// True if the upstream is warm, or this instance has a part left of what it bears.
-    fn bears(&self, state: &State, cold: &Mutex<ColdStart>) -> bool {
+    /// True if the upstream is warm, or if this instance has capacity left in its share of
+    /// the cold-start limit.
+    fn has_cold_capacity(&self, state: &State, cold: &Mutex<ColdStart>) -> bool {
         let now = state.now();
         let Some(spec) = state.cold_spec(&self.to.service) else {
             return true;
@@ -282,7 +292,7 @@
         if !lock(cold).is_cold(now, spec) {
             return true;
         }
-        // Asked for while nothing is locked.
+        // Computed while `cold` is not locked; see `SelectionFilter::cold_allows`.
         let place = state.fleet_place(self.to.address);
         lock(cold).bears(now, spec, place)
     }
--- a/crates/gateway/src/upstream_selection.rs
+++ b/crates/gateway/src/upstream_selection.rs
@@ -1,4 +1,4 @@
-//! Which upstream a request is sent to next.
+//! Selects the upstream for each attempt at a request.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,36 +18,35 @@
 use crate::upstream_table::LimitFilter;
 use crate::upstream_table::SelectedUpstream;
 
-/// How often a request may be withheld from the upstream that was chosen before it is
-/// refused.
+/// The number of withheld sends after which a request is refused.
 const MAX_WITHHELD: u32 = 8;
-/// How often before only upstreams that name no limit are chosen.
-const MAX_TURNED_AWAY: u32 = 3;
-
-/// Above this limit, in requests a second, permits are asked for after the stages. Kept
-/// while stages take their various times, more of them would be used at once than the
-/// upstream takes.
-const RESERVED_UP_TO: f64 = 8.0;
-
-/// The part of the wait that callers are told by which their returns are spread.
-const RETURN_SPREAD: f64 = 0.25;
-/// The longest such wait.
-const LONGEST_RETURN: Duration = Duration::from_secs(600);
-/// The least that the stages of a request take.
-const STAGES_TAKE_LEAST: Duration = Duration::from_millis(200);
-
-/// Where one attempt of a caller was sent so far.
+/// The number of withheld sends after which only upstreams without a rate limit are selected.
+const MAX_WITHHELD_LIMITED: u32 = 3;
+
+/// Above this rate limit, in requests a second, permits are requested after the stages.
+/// Stages take different times, so that permits held during them would be used in bursts
+/// above the limit.
+const MAX_RESERVED_RATE: f64 = 8.0;
+
+/// The retry times that callers are given are spread by up to this fraction of the wait.
+const RETRY_JITTER: f64 = 0.25;
+/// The longest wait that callers are given.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(600);
+/// The shortest time that the stages of a request take.
+const MIN_STAGES_DURATION: Duration = Duration::from_millis(200);
+
+/// The attempts at one request so far.
 #[derive(Debug)]
 pub(crate) struct RetryState {
-    /// The upstreams that it was sent to, those that did nothing included.
+    /// The upstreams that it was sent to, including those that did not run it.
     pub(crate) tried: Vec<CompactString>,
     /// How many of these may have run it.
     pub(crate) possible_runs: u32,
-    /// How often it was withheld from the one that was chosen.
+    /// How many sends to selected upstreams were withheld.
     withheld: u32,
-    /// When to come back where no upstream is left.
+    /// When the caller may retry if no upstream is left.
     retry_after: Duration,
-    /// Where it is sent first, if that was settled before its stages.
+    /// The upstream of the first attempt and its permit, if reserved before the stages.
     reserved: Option<(SelectedUpstream, SendPermit)>,
 }
 
@@ -62,7 +61,8 @@
         }
     }
 
-    /// The refusal of a request whose turn comes after `wait`.
+    /// The refusal of a request that all upstreams reject for `wait`, because of rate limits
+    /// or backoffs.
     fn refuse_limited(&self, wait: Duration) -> Refusal {
         let detail = "the upstreams take no more for now";
         match self.possible_runs {
@@ -71,7 +71,7 @@
         }
     }
 
-    /// The refusal of a request that no upstream can be sent.
+    /// The refusal of a request for which no upstream can be selected.
     fn refuse(&self, kind: RefusalKind, detail: &'static str) -> Refusal {
         match (self.possible_runs, kind) {
             (0, RefusalKind::DeadlinePassed) => Refusal::not_run(RefusalKind::WouldMiss, detail),
@@ -82,25 +82,25 @@
     }
 }
 
-/// Why a request got no answer from the next upstream.
+/// Why an attempt at the next upstream brought no response.
 #[derive(Debug)]
 pub(crate) enum NextSendError {
-    /// There is no next one.
+    /// No upstream could be selected.
     Refused(Refusal),
-    /// It was sent, and brought no answer for the caller.
+    /// The attempt failed.
     Failed(AttemptFailure),
 }
 
-/// Sends a request to the next upstream, and to another one as long as it is withheld
-/// from those that are chosen.
+/// Sends a request to the next upstream. Selects another upstream whenever a send is
+/// withheld.
 pub(crate) async fn send_to_next_upstream(
     state: &Arc<State>,
     request: &CallerRequest,
     retries: &mut RetryState,
     inputs: &[CompactString],
     last_event: Option<u64>,
-    patience: impl Fn(u32) -> Duration,
-    written: impl Fn(),
+    timeout: impl Fn(u32) -> Duration,
+    on_write: impl Fn(),
 ) -> Result<UpstreamResponse, NextSendError> {
     loop {
         let permitted = match retries.reserved.take() {
@@ -116,9 +116,9 @@
             }
         };
         let id = permitted.0.id.clone();
-        let patience = patience(retries.possible_runs);
+        let timeout = timeout(retries.possible_runs);
         let sending = attempt::send(
-            state, request, permitted, inputs, last_event, patience, &written,
+            state, request, permitted, inputs, last_event, timeout, &on_write,
         );
         match sending.await {
             Err(failure) if failure.withheld => retries.withheld += 1,
@@ -130,8 +130,8 @@
     }
 }
 
-/// The next upstream for a request: the one that keeps its prompt, or the next after
-/// those that were tried.
+/// Selects the next upstream for a request, by its prompt session or else by load, and
+/// skips upstreams that were tried.
 fn next_upstream(
     state: &State,
     request: &CallerRequest,
@@ -144,7 +144,7 @@
     request.check_quarantine(state, retries.possible_runs)?;
     let table = state.upstreams.load();
     let mut check = state.selection_filter(&request.service);
-    if retries.withheld >= MAX_TURNED_AWAY {
+    if retries.withheld >= MAX_WITHHELD_LIMITED {
         check.limit_filter = LimitFilter::Unlimited;
     }
     let tried = &retries.tried;
@@ -167,8 +167,8 @@
     })
 }
 
-/// When a caller is to come back for whom a service's upstreams take no more; none if
-/// that is not the reason.
+/// When a caller may retry if permits for the rate-limited upstreams of a service are used
+/// up; none if rate limits are not the reason.
 fn limit_retry_after(state: &State, service: &str) -> Option<Duration> {
     if !state.limits.any() {
         return None;
@@ -181,23 +181,24 @@
         let rate = state.limits.limit(&upstream.id)?;
         Some((upstream.id, rate))
     });
-    state.permit_retries.next(state.now(), limited)
+    state.permit_retries.next_caller_retry(state.now(), limited)
 }
 
-/// When a caller is to come back if all upstreams of a service want nothing for a while:
-/// once the first of them takes requests again, each caller at another moment.
+/// When a caller may retry if all upstreams of a service are backing off: when the first
+/// backoff ends, plus a random part so that callers do not all return at once.
 pub(crate) fn backoff_retry_after(state: &State, service: &str) -> Option<Duration> {
     let left = shortest_backoff(state, service)?;
-    let spread = left.mul_f64(RETURN_SPREAD * fastrand::f64());
+    let spread = left.mul_f64(RETRY_JITTER * fastrand::f64());
     Some(left + spread)
 }
 
-/// How long until the first upstream of a service takes requests again; none if one does.
+/// The time until the first backoff of a service's upstreams ends; none if an upstream
+/// accepts requests now.
 fn shortest_backoff(state: &State, service: &str) -> Option<Duration> {
     let table = state.upstreams.load();
     let mut soonest: Option<Duration> = None;
     for upstream in table.upstreams(service) {
-        let left = backoff(state, &upstream)?.min(LONGEST_RETURN);
+        let left = backoff(state, &upstream)?.min(MAX_RETRY_AFTER);
         soonest = Some(soonest.map_or(left, |s| s.min(left)));
     }
     soonest
@@ -210,15 +211,15 @@
     state.backoffs.backoff(state.now(), *address, id, *start)
 }
 
-/// Refuses a request at once whose stages would be done in vain, since all upstreams that
-/// could run it want nothing for longer than these take.
+/// Refuses a request before its stages if all upstreams that could run it back off for
+/// longer than the stages take.
 fn check_backoffs(
     state: &State,
     request: &CallerRequest,
     retries: &RetryState,
 ) -> Result<(), Refusal> {
     match shortest_backoff(state, &request.service) {
-        Some(left) if left > STAGES_TAKE_LEAST => {
+        Some(left) if left > MIN_STAGES_DURATION => {
             let wait = backoff_retry_after(state, &request.service);
             Err(retries.refuse_limited(wait.unwrap_or(left)))
         }
@@ -226,11 +227,11 @@
     }
 }
 
-/// Settles before the stages of a request where it is sent, if that upstream names a limit,
-/// and refuses it at once if none takes it.
+/// Selects the upstream of a request before its stages and obtains a permit, if that
+/// upstream is rate limited; refuses the request if no upstream accepts it.
 ///
-/// The load that it answers: all upstreams name limits, and most requests are refused. With
-/// a permit asked for after the stages, these were done for all of them.
+/// When all upstreams are rate limited and most requests are refused, a permit that is
+/// requested only after the stages means that stages run for refused requests as well.
 pub(crate) async fn reserve_upstream(
     state: &State,
     request: &CallerRequest,
@@ -240,7 +241,7 @@
     while state.limits.any() {
         let chosen = next_upstream(state, request, retries)?;
         let limit = state.limits.limit(&chosen.id);
-        if limit.is_none_or(|rate| rate.per_s() > RESERVED_UP_TO) {
+        if limit.is_none_or(|rate| rate.per_s() > MAX_RESERVED_RATE) {
             return Ok(());
         }
         match attempt::request_permit(state, request, &chosen).await {
--- a/crates/gateway/src/upstream_table.rs
+++ b/crates/gateway/src/upstream_table.rs
@@ -1,4 +1,4 @@
-//! The upstreams of every service, laid out for the path of a request.
+//! The upstreams of every service, in the form that requests select them from.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -28,23 +28,23 @@
 use crate::run_events::UpstreamRef;
 use crate::state::State;
 
-/// An upstream that was chosen for a request.
+/// An upstream that was selected for a request.
 #[derive(Debug, Clone)]
 pub(crate) struct SelectedUpstream {
-    /// Its identity.
+    /// The ID of the upstream.
     pub(crate) id: CompactString,
-    /// Which start of it.
+    /// Identifies the start of the upstream process.
     pub(crate) start: UpstreamStart,
-    /// What this instance knows of it.
+    /// The load and health of the upstream, as seen by this instance.
     pub(crate) upstream: Arc<Upstream>,
-    /// Set once it is known to have started again since.
+    /// Set once the upstream is known to have restarted since.
     pub(crate) restarted: Arc<Latch>,
-    /// Whether it has just started, and what was sent there since.
+    /// Whether the upstream is cold, and what was sent to it since its start.
     pub(crate) cold: Arc<Mutex<ColdStart>>,
 }
 
 impl SelectedUpstream {
-    /// This start of it, as an upstream of a service.
+    /// A reference to this start, as an upstream of `service`.
     pub(crate) fn upstream_ref(&self, service: &CompactString) -> UpstreamRef {
         UpstreamRef {
             service: service.clone(),
@@ -55,61 +55,63 @@
     }
 }
 
-/// Which of the upstreams that name a limit may be chosen.
+/// Which rate-limited upstreams may be selected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum LimitFilter {
-    /// All.
+    /// All of them.
     Any,
-    /// Those for which a permit may be asked for now.
+    /// Those for which a permit may be requested now.
     PermitDue,
-    /// None.
+    /// None of them, so that only upstreams without a limit remain.
     Unlimited,
 }
 
-/// What a choice asks of an upstream before it is sent anything.
+/// The conditions that an upstream has to meet to be selected.
 pub(crate) struct SelectionFilter<'a> {
-    /// What those bear that have just started; none where that is not bounded.
+    /// The limit of cold upstreams; none if they have no limit.
     pub(crate) cold: Option<ColdSpec>,
-    /// Which of those may be chosen that name a limit.
+    /// Which rate-limited upstreams may be selected.
     pub(crate) limit_filter: LimitFilter,
-    /// Tells this instance's place among all.
+    /// The backoffs, rate limits and instances that the conditions depend on.
     pub(crate) state: &'a State,
 }
 
 impl SelectionFilter<'_> {
     /// True if this instance may send to the upstream now.
-    fn allows(&self, now: MonoTime, id: &str, known: &Known) -> bool {
-        self.wants_requests(now, id, known)
+    fn allows(&self, now: MonoTime, id: &str, record: &UpstreamRecord) -> bool {
+        self.not_backing_off(now, id, record)
             && self.limit_allows(now, id)
-            && self.cold_allows(now, known)
+            && self.cold_allows(now, record)
     }
 
-    fn wants_requests(&self, now: MonoTime, id: &str, known: &Known) -> bool {
-        let (address, start) = (known.upstream.address, known.start);
+    fn not_backing_off(&self, now: MonoTime, id: &str, record: &UpstreamRecord) -> bool {
+        let (address, start) = (record.upstream.address, record.start);
         let backoff = self.state.backoffs.backoff(now, address, id, start);
         backoff.is_none()
     }
 
     fn limit_allows(&self, now: MonoTime, id: &str) -> bool {
-        let names_limit = || self.state.limits.limit(id).is_some();
+        let is_limited = || self.state.limits.limit(id).is_some();
         match self.limit_filter {
             LimitFilter::Any => true,
-            LimitFilter::PermitDue => !names_limit() || self.state.permit_retries.may_ask(now, id),
-            LimitFilter::Unlimited => !names_limit(),
+            LimitFilter::PermitDue => {
+                !is_limited() || self.state.permit_retries.may_request(now, id)
+            }
+            LimitFilter::Unlimited => !is_limited(),
         }
     }
 
-    fn cold_allows(&self, now: MonoTime, known: &Known) -> bool {
+    fn cold_allows(&self, now: MonoTime, record: &UpstreamRecord) -> bool {
         let Some(spec) = self.cold else {
             return true;
         };
-        if !lock(&known.cold).is_cold(now, spec) {
+        if !lock(&record.cold).is_cold(now, spec) {
             return true;
         }
-        // Asked for while nothing is locked: a new table is made with the list of
-        // instances locked, and then locks what is known of each upstream.
-        let place = self.state.fleet_place(known.upstream.address);
-        lock(&known.cold).bears(now, spec, place)
+        // Computed while `cold` is not locked. The rebuild of the table locks the cluster state
+        // first and then the cold state of each upstream; the opposite order could deadlock.
+        let place = self.state.fleet_place(record.upstream.address);
+        lock(&record.cold).bears(now, spec, place)
     }
 }
 
@@ -118,29 +120,29 @@
     ids: Vec<CompactString>,
     slots: u32,
     pool: PoolTable,
-    known: Vec<Known>,
+    records: Vec<UpstreamRecord>,
 }
 
 /// One start of an upstream.
 #[derive(Debug, Clone)]
-struct Known {
+struct UpstreamRecord {
     start: UpstreamStart,
     upstream: Arc<Upstream>,
     restarted: Arc<Latch>,
-    /// It stands in a zone that is evacuated: it is there, and gets nothing new.
+    /// True if the upstream is in an evacuated zone and therefore gets no new requests.
     evacuated: bool,
     cold: Arc<Mutex<ColdStart>>,
 }
 
-impl Known {
-    /// An upstream first seen at `since`; [`MonoTime::ZERO`] if it was there before
-    /// this instance was.
-    fn new(entry: &UpstreamEntry, since: MonoTime) -> Known {
+impl UpstreamRecord {
+    /// An upstream that was first seen at `since`; [`MonoTime::ZERO`] if it was listed before
+    /// this instance started.
+    fn new(entry: &UpstreamEntry, since: MonoTime) -> UpstreamRecord {
         let mut cold = ColdStart::default();
         if since != MonoTime::ZERO {
             cold.may_have_started(since);
         }
-        Known {
+        UpstreamRecord {
             start: entry.start,
             cold: Arc::new(Mutex::new(cold)),
             upstream: Arc::new(Upstream::new(entry.address, entry.zone.clone(), since)),
@@ -149,29 +151,29 @@
         }
     }
 
-    /// What is known of the upstream of an entry, if that is of the same start.
-    fn kept_for(&self, entry: &UpstreamEntry) -> Option<Known> {
+    /// The record for the upstream of `entry`, if `entry` is of the same start.
+    fn kept_for(&self, entry: &UpstreamEntry) -> Option<UpstreamRecord> {
         let again = entry.start.is_later_than(self.start);
         let same = !again && self.upstream.address == entry.address;
-        same.then(|| Known {
+        same.then(|| UpstreamRecord {
             start: self.start.later(entry.start),
             ..self.clone()
         })
     }
 }
 
-/// The upstreams of every service. A new table is made when entries change;
-/// what is known of an upstream lives on from table to table.
+/// The upstreams of every service. The table is rebuilt when entries change; the records of
+/// unchanged upstreams are carried over.
 #[derive(Debug, Default)]
 pub(crate) struct UpstreamTable {
     services: HashMap<CompactString, ServiceTable>,
-    by_id: HashMap<CompactString, Known>,
+    by_id: HashMap<CompactString, UpstreamRecord>,
 }
 
 impl UpstreamTable {
-    /// The table of `entries` for an instance in `zone`. Upstreams that leave
-    /// are not in it: nothing new may reach them. Those of an evacuated zone are
-    /// known and are not chosen.
+    /// The table of `entries` for an instance in `zone`. Upstreams that are shutting down are
+    /// left out, since they must not get new requests. Upstreams of an evacuated zone are kept
+    /// but not selected.
     pub(crate) fn rebuilt<'a>(
         &self,
         now: MonoTime,
@@ -186,48 +188,48 @@
         for listed in entries.filter(|l| !l.entry.leaving) {
             let entry = listed.entry;
             let before = self.by_id.get(&entry.id);
-            let kept = before.and_then(|k| k.kept_for(entry));
-            let mut known = kept.unwrap_or_else(|| Known::new(entry, since));
+            let kept = before.and_then(|r| r.kept_for(entry));
+            let mut record = kept.unwrap_or_else(|| UpstreamRecord::new(entry, since));
             {
-                let mut cold = lock(&known.cold);
+                let mut cold = lock(&record.cold);
                 cold.told(listed.cold_until);
                 if let Some(at) = evacuated.taken_back_at(&entry.zone) {
                     cold.may_have_started(at);
                 }
             }
-            known.evacuated = evacuated.is_evacuated(&entry.zone);
-            if !known.evacuated {
+            record.evacuated = evacuated.is_evacuated(&entry.zone);
+            if !record.evacuated {
                 let service = grouped.entry(entry.service.clone());
                 service.or_default().push(entry);
             }
-            by_id.insert(entry.id.clone(), known);
+            by_id.insert(entry.id.clone(), record);
         }
         let mut services = HashMap::new();
         for (service, mut entries) in grouped {
             entries.sort_by(|a, b| a.id.cmp(&b.id));
-            let known = entries.iter().map(|e| by_id[&e.id].clone());
-            let known: Vec<Known> = known.collect();
-            let upstreams = known.iter().map(|k| Arc::clone(&k.upstream)).collect();
+            let records = entries.iter().map(|e| by_id[&e.id].clone());
+            let records: Vec<UpstreamRecord> = records.collect();
+            let upstreams = records.iter().map(|r| Arc::clone(&r.upstream)).collect();
             let slots = entries.iter().map(|e| e.slots).max().unwrap_or(1);
             let table = ServiceTable {
                 ids: entries.iter().map(|e| e.id.clone()).collect(),
                 slots,
                 pool: PoolTable::without_prefixes(upstreams, slots, zone),
-                known,
+                records,
             };
             services.insert(service, table);
         }
         UpstreamTable { services, by_id }
     }
 
-    /// The addresses of upstreams that have started again since an earlier table.
-    /// Tells those that wait for an answer of the earlier start.
+    /// Wakes the requests that wait for a response of upstreams which have restarted since an
+    /// earlier table, and returns the addresses of these upstreams.
     pub(crate) fn notify_restarts(&self, earlier: &UpstreamTable) -> Vec<SocketAddr> {
         let mut addresses = Vec::new();
         for (id, before) in &earlier.by_id {
             let now = self.by_id.get(id);
             if now.is_some_and(|now| !Arc::ptr_eq(&now.upstream, &before.upstream)) {
-                log::info!(upstream:% = id, address:% = before.upstream.address; "upstream started again");
+                log::info!(upstream:% = id, address:% = before.upstream.address; "upstream restarted");
                 before.restarted.set();
                 addresses.push(before.upstream.address);
             }
@@ -235,65 +237,65 @@
         addresses
     }
 
-    /// The zones of a service's upstreams, one for each of them.
+    /// The zones of a service's upstreams, one item for each upstream.
     pub(crate) fn zones(&self, service: &str) -> impl Iterator<Item = &Name> {
         let table = self.services.get(service).into_iter();
         table.flat_map(|t| t.pool.upstreams().iter().map(|u| &u.hall))
     }
 
-    /// A service's upstreams as their entries announce them.
+    /// The upstreams of a service.
     pub(crate) fn upstreams(&self, service: &str) -> impl Iterator<Item = StageUpstream> {
         let ids = self.services.get(service).into_iter().flat_map(|t| &t.ids);
         ids.filter_map(|id| {
-            let known = self.by_id.get(id)?;
+            let record = self.by_id.get(id)?;
             Some(StageUpstream {
                 id: id.clone(),
-                start: known.start,
-                address: known.upstream.address,
-                zone: known.upstream.hall.clone(),
+                start: record.start,
+                address: record.upstream.address,
+                zone: record.upstream.hall.clone(),
             })
         })
     }
 
-    /// True if the upstream may still get new work at this address.
+    /// True if the upstream is listed at this address and may get new requests.
     pub(crate) fn lists_at(&self, id: &str, address: SocketAddr) -> bool {
-        let known = self.by_id.get(id);
-        known.is_some_and(|k| k.upstream.address == address && !k.evacuated)
+        let record = self.by_id.get(id);
+        record.is_some_and(|r| r.upstream.address == address && !r.evacuated)
     }
 
-    /// Where an upstream answers that is there and does not leave.
+    /// The address of an upstream that is listed and not shutting down.
     pub(crate) fn address_of(&self, id: &str) -> Option<SocketAddr> {
-        self.by_id.get(id).map(|known| known.upstream.address)
+        self.by_id.get(id).map(|record| record.upstream.address)
     }
 
-    /// The start of an upstream that is there and does not leave.
+    /// The start of an upstream that is listed and not shutting down.
     pub(crate) fn start_of(&self, id: &str) -> Option<UpstreamStart> {
-        self.by_id.get(id).map(|known| known.start)
+        self.by_id.get(id).map(|record| record.start)
     }
 
-    /// The upstream that answers at an address; none if no entry names one.
+    /// The upstream at an address; none if no entry has that address.
     pub(crate) fn by_address(&self, address: SocketAddr) -> Option<UpstreamRef> {
         self.services.iter().find_map(|(service, table)| {
             let upstreams = table.pool.upstreams().iter();
-            let found = upstreams.zip(&table.ids).zip(&table.known);
+            let found = upstreams.zip(&table.ids).zip(&table.records);
             let mut found = found.filter(|((u, _), _)| u.address == address);
-            let ((_, id), known) = found.next()?;
+            let ((_, id), record) = found.next()?;
             Some(UpstreamRef {
                 service: service.clone(),
                 id: id.clone(),
-                start: known.start,
+                start: record.start,
                 address,
             })
         })
     }
 
-    /// True if an upstream of the service answers at this address.
+    /// True if an upstream of the service has this address.
     pub(crate) fn serves_at(&self, service: &str, address: SocketAddr) -> bool {
         let table = self.services.get(service);
         table.is_some_and(|t| t.pool.upstreams().iter().any(|u| u.address == address))
     }
 
-    /// Chooses an upstream by load, near ones first.
+    /// Selects an upstream by load, preferring those in `zone`.
     pub(crate) fn pick_by_load(
         &self,
         service: &str,
@@ -304,7 +306,7 @@
     ) -> Option<SelectedUpstream> {
         let table = self.services.get(service)?;
         let mut exclude = table.keys_of(tried);
-        exclude.extend(table.keys(|id, known| !check.allows(now, id, known)));
+        exclude.extend(table.keys(|id, record| !check.allows(now, id, record)));
         let req = PickRequest {
             hall: zone,
             affinity: None,
@@ -316,7 +318,7 @@
         Some(table.chosen(pick.key))
     }
 
-    /// Chooses the upstream that keeps the session's prompt.
+    /// Selects the upstream that caches the prompt of a session.
     pub(crate) fn pick_for_session(
         &self,
         service: &str,
@@ -329,8 +331,8 @@
         let table = self.services.get(service)?;
         let views = table.views(now, &table.keys_of(tried));
         let order = place_prompt(session, &views, table.slots, instances);
-        let bearing = |n: &usize| check.allows(now, &table.ids[*n], &table.known[*n]);
-        let first = order.into_iter().find(bearing)?;
+        let allowed = |n: &usize| check.allows(now, &table.ids[*n], &table.records[*n]);
+        let first = order.into_iter().find(allowed)?;
         let key = UpstreamKey::from_index(u32::try_from(first).ok()?);
         Some(table.chosen(key))
     }
@@ -338,26 +340,26 @@
 
 impl ServiceTable {
     fn chosen(&self, key: UpstreamKey) -> SelectedUpstream {
-        let known = self.known[key.index()].clone();
+        let record = self.records[key.index()].clone();
         SelectedUpstream {
             id: self.ids[key.index()].clone(),
-            start: known.start,
-            upstream: known.upstream,
-            restarted: known.restarted,
-            cold: known.cold,
+            start: record.start,
+            upstream: record.upstream,
+            restarted: record.restarted,
+            cold: record.cold,
         }
     }
 
-    /// The places of those that are like this.
-    fn keys(&self, is_one: impl Fn(&str, &Known) -> bool) -> Vec<UpstreamKey> {
+    /// The keys of the upstreams that match a predicate.
+    fn keys(&self, matches: impl Fn(&str, &UpstreamRecord) -> bool) -> Vec<UpstreamKey> {
         let keys = (0..).map(UpstreamKey::from_index);
-        let all = self.ids.iter().zip(&self.known).zip(keys);
-        all.filter(|((id, known), _)| is_one(id, known))
+        let all = self.ids.iter().zip(&self.records).zip(keys);
+        all.filter(|((id, record), _)| matches(id, record))
             .map(|(_, k)| k)
             .collect()
     }
 
-    /// The places of those that are still there.
+    /// The keys of the upstreams with these IDs, as far as they are still listed.
     fn keys_of(&self, ids: &[CompactString]) -> Vec<UpstreamKey> {
         let keys = (0..).map(UpstreamKey::from_index);
         let all = self.ids.iter().zip(keys);
@@ -366,8 +368,8 @@
             .collect()
     }
 
-    /// Ejections are ignored when all are ejected: a bad signal must not leave
-    /// a service without any upstream.
+    /// The upstreams as candidates for a prompt. Ejections are ignored if all upstreams are
+    /// ejected, so that a wrong signal cannot leave a service without any upstream.
     fn views(&self, now: MonoTime, exclude: &[UpstreamKey]) -> Vec<PromptUpstream> {
         let upstreams = self.pool.upstreams();
         let all_ejected = upstreams.iter().all(|u| u.is_ejected(now));
