--- a/crates/gateway/tests/whole/backoffs.rs
+++ b/crates/gateway/tests/whole/backoffs.rs
@@ -1,4 +1,4 @@
-//! Upstreams that refuse a request and want nothing more for a while.
+//! Upstreams that refuse a request and ask for a backoff.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -18,64 +18,68 @@
 use crate::fakes::noticing::arrivals;
 use crate::fakes::noticing::gateway;
 
-/// How long an upstream wants nothing, and the same as it says it.
+/// The backoff that an upstream asks for, and its text in the response.
 const BACKOFF: Duration = Duration::from_secs(3);
 const BACKOFF_TEXT: &str = "3";
 
-/// An upstream refuses a request, asks for rest, and gets the next ones all the same.
+/// Guards against requests that are sent to an upstream during the backoff it asked for.
 #[test_case("/any/x", 0; "plain")]
 #[test_case("/once/x", 0; "at most once")]
 #[test_case("/stream/x", 0; "streamed")]
 #[test_case("/staged/x", 0; "after stages")]
 #[test_case("/staged/x", 3; "pieces")]
-fn an_upstream_that_wants_nothing_for_a_while_gets_nothing(path: &'static str, resting: usize) {
+fn an_upstream_in_backoff_gets_no_requests(path: &'static str, backing_off: usize) {
     let harness = gateway(3);
     block_on(async {
         harness.until_ready(true).await;
-        let upstream = &harness.upstreams[resting];
+        let upstream = &harness.upstreams[backing_off];
         upstream.set_replies(vec![Reply::BackOff(BACKOFF_TEXT)]);
-        let said = until_asked(&harness, path, upstream).await;
+        let refused_at = send_until_received(&harness, path, upstream).await;
         all_served(&repeat(&harness, path, PAUSE, BACKOFF - ON_ITS_WAY).await);
-        let late = arrivals(upstream, said + ON_ITS_WAY, said + BACKOFF);
-        assert_eq!(late, 0, "sent while it wanted nothing");
+        let late = arrivals(upstream, refused_at + ON_ITS_WAY, refused_at + BACKOFF);
+        assert_eq!(late, 0, "sent during the backoff");
         repeat(&harness, path, PAUSE, LOAD).await;
-        let again = arrivals(upstream, said + BACKOFF, Instant::now());
-        assert!(again > 0, "never asked again");
+        let again = arrivals(upstream, refused_at + BACKOFF, Instant::now());
+        assert!(again > 0, "no request after the backoff");
     });
 }
 
-/// All upstreams want nothing for longer than the caller waits. It is told so at once, and
-/// truthfully, and none of them is asked.
+/// All upstreams back off for longer than the caller waits. The caller gets a refusal at once
+/// that says that the request did not run, and no upstream gets a request.
 #[test_case("/any/x"; "plain")]
 #[test_case("/once/x"; "at most once")]
 #[test_case("/stream/x"; "streamed")]
 #[test_case("/staged/x"; "after stages")]
-fn a_request_that_no_upstream_takes_for_a_while_is_refused_at_once(path: &'static str) {
+fn a_request_is_refused_at_once_while_all_upstreams_back_off(path: &'static str) {
     let harness = gateway(2);
     block_on(async {
         harness.until_ready(true).await;
         for upstream in &harness.upstreams[..2] {
             upstream.set_replies(vec![Reply::BackOff("60")]);
-            until_asked(&harness, path, upstream).await;
+            send_until_received(&harness, path, upstream).await;
         }
-        let asked = || harness.upstreams[2].count() + harness.upstreams[3].count();
-        let (before, counted) = (asked(), Instant::now());
+        let stage_requests = || harness.upstreams[2].count() + harness.upstreams[3].count();
+        let (before, sent_at) = (stage_requests(), Instant::now());
         let received = harness.ask(path, "late").await;
         assert_eq!(received.status, 503);
         assert_eq!(received.run.as_deref(), Some("not run"));
-        let retry = received.retry.expect("a time to come back");
-        assert!(retry > BACKOFF, "{retry:?} although all want longer");
-        assert!(counted.elapsed() < ON_ITS_WAY, "{:?}", counted.elapsed());
+        let retry = received.retry.expect("a retry time");
+        assert!(retry > BACKOFF, "{retry:?}, but all backoffs are longer");
+        assert!(sent_at.elapsed() < ON_ITS_WAY, "{:?}", sent_at.elapsed());
         for upstream in &harness.upstreams[..2] {
-            assert_eq!(arrivals(upstream, counted, Instant::now()), 0);
+            assert_eq!(arrivals(upstream, sent_at, Instant::now()), 0);
         }
-        assert_eq!(asked(), before, "a stage in vain");
+        assert_eq!(
+            stage_requests(),
+            before,
+            "a stage ran for a refused request"
+        );
     });
 }
 
-/// All upstreams of a stage want nothing for longer than the caller waits.
+/// All upstreams of a stage back off for longer than the caller waits.
 #[test]
-fn a_request_whose_stage_no_upstream_does_for_a_while_is_refused_at_once() {
+fn a_request_is_refused_at_once_while_all_upstreams_of_its_stage_back_off() {
     let harness = gateway(1);
     block_on(async {
         harness.until_ready(true).await;
@@ -83,36 +87,36 @@
             upstream.set_replies(vec![Reply::BackOff("60")]);
         }
         harness.ask("/staged/x", "first").await;
-        let counted = Instant::now();
+        let sent_at = Instant::now();
         for id in ["second", "third"] {
             let received = harness.ask("/staged/x", id).await;
             assert_eq!(received.status, 503);
             assert_eq!(received.run.as_deref(), Some("not run"));
-            let retry = received.retry.expect("a time to come back");
-            assert!(retry > BACKOFF, "{retry:?} although all want longer");
+            let retry = received.retry.expect("a retry time");
+            assert!(retry > BACKOFF, "{retry:?}, but all backoffs are longer");
         }
-        assert!(counted.elapsed() < ON_ITS_WAY, "{:?}", counted.elapsed());
+        assert!(sent_at.elapsed() < ON_ITS_WAY, "{:?}", sent_at.elapsed());
         for upstream in &harness.upstreams[1..] {
-            assert_eq!(arrivals(upstream, counted, Instant::now()), 0);
+            assert_eq!(arrivals(upstream, sent_at, Instant::now()), 0);
         }
     });
 }
 
-/// Rest is no failure: the upstream is not avoided for longer, and what it refused spends
-/// nothing of what may be sent once more while it rests.
+/// A backoff is not a failure: the upstream is not avoided for longer than it asked for, and
+/// requests that are refused during the backoff take nothing from the retry budget.
 #[test]
-fn an_upstream_that_rested_is_used_as_before() {
+fn an_upstream_is_used_as_before_after_its_backoff() {
     let harness = gateway(1);
     block_on(async {
         harness.until_ready(true).await;
         let upstream = &harness.upstreams[0];
         upstream.set_replies(vec![Reply::BackOff("1"), Reply::Complete("its answer")]);
-        let said = until_asked(&harness, "/once/x", upstream).await;
+        let refused_at = send_until_received(&harness, "/once/x", upstream).await;
         let before = harness.counter_total("jd_gateway_repeats_total").await;
         while harness.ask("/once/x", "next").await.status != 200 {
             Timer::after(PAUSE).await;
         }
-        let took = said.elapsed();
+        let took = refused_at.elapsed();
         let due = Duration::from_millis(1_100) + ON_ITS_WAY;
         assert!(took >= Duration::from_secs(1) && took < due, "{took:?}");
         assert_eq!(
@@ -122,8 +126,8 @@
     });
 }
 
-/// Sends requests until an upstream has been asked; when it was.
-async fn until_asked(harness: &Harness, path: &str, upstream: &FakeUpstream) -> Instant {
+/// Sends requests until one reaches `upstream`. Returns the time at which it arrived.
+async fn send_until_received(harness: &Harness, path: &str, upstream: &FakeUpstream) -> Instant {
     let from = Instant::now();
     loop {
         harness.ask(path, "first").await;
--- a/crates/gateway/tests/whole/fakes/deployments.rs
+++ b/crates/gateway/tests/whole/fakes/deployments.rs
@@ -1,4 +1,4 @@
-//! What operators and upstreams of tests write into the store.
+//! The store records that operators and upstreams write in tests.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,7 +17,7 @@
 use jd_serving::UpstreamStart;
 use jd_types::Name;
 
-/// A stage whose calls are short, so that a test is.
+/// A stage with short batches, which keeps tests short.
 const STAGE: BatchSpec = BatchSpec {
     slots: 1,
     queue: 2,
@@ -84,7 +84,7 @@
     }
 }
 
-/// The same where upstreams that have just started bear `per_s` requests a second.
+/// The same, with cold upstreams that accept `per_s` requests a second.
 pub(crate) fn cold_deployment(per_s: f64) -> Deployment {
     let mut cold = deployment();
     cold.services.push(Service {
@@ -100,7 +100,7 @@
     cold
 }
 
-/// The same with a stage before `/staged/`.
+/// The same, with a route `/staged/` that has one stage.
 pub(crate) fn staged_deployment() -> Deployment {
     let mut staged = deployment();
     let mut route = route("staged", Repeat::Resumable);
--- a/crates/gateway/tests/whole/fakes/fake_dialect.rs
+++ b/crates/gateway/tests/whole/fakes/fake_dialect.rs
@@ -1,4 +1,4 @@
-//! A dialect with as few names as will do.
+//! A minimal dialect.
 
 use std::net::SocketAddr;
 use std::sync::atomic::AtomicU64;
@@ -29,7 +29,7 @@
 use jd_serving::RetryAfterError;
 use jd_types::Refusal;
 
-/// Results of stages that were made so far.
+/// The number of stage results so far.
 static RESULTS: AtomicU64 = AtomicU64::new(0);
 
 #[derive(Debug)]
@@ -124,7 +124,7 @@
     }
 
     fn stage_results(&self, body: &[u8], count: usize) -> Option<Vec<PieceResult>> {
-        // Each result is one of its own, as upstreams name them.
+        // Each result has a distinct handle, as with real upstreams.
         let result = |_| match body {
             b"made" => {
                 let number = RESULTS.fetch_add(1, Ordering::Relaxed);
--- a/crates/gateway/tests/whole/fakes/fake_upstream.rs
+++ b/crates/gateway/tests/whole/fakes/fake_upstream.rs
@@ -1,4 +1,4 @@
-//! An upstream that answers as it is told.
+//! An upstream with programmed replies.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -26,46 +26,46 @@
 use jd_net::HttpServer;
 use jd_net::ServerLimits;
 
-/// What an upstream answers to one request.
+/// The reply of an upstream to one request.
 #[derive(Debug, Clone)]
 pub(crate) enum Reply {
-    /// Its whole answer.
+    /// A complete response.
     Complete(&'static str),
-    /// The same after a while.
+    /// A complete response after a delay.
     Delayed(&'static str, Duration),
-    /// That it did nothing.
+    /// A refusal that says that the request did not run.
     NotRun,
-    /// The same, and that it wants nothing more for so many seconds.
+    /// The same, with a backoff in seconds.
     BackOff(&'static str),
-    /// That it is another one than the one that was asked.
+    /// A refusal because the request was meant for another upstream.
     Misdirected,
-    /// The first of all upstreams that share this gives the answer to another
-    /// request; the others say that results which it works on are gone.
+    /// The first of the upstreams that share the flag sends the response to another request;
+    /// the others answer that the stage results of the request are gone.
     CrossedThenInputsGone(Arc<AtomicBool>),
-    /// The whole answer to another request.
+    /// The complete response to another request.
     Crossed,
-    /// A failure of its own, vouched for.
+    /// A signed error response.
     Failure,
-    /// Parts of a stream; it breaks off after them if `cut`.
+    /// Parts of a stream, which breaks off after them if `cut`.
     Stream {
         parts: &'static [&'static str],
         cut: bool,
     },
-    /// The answer comes once the test lets it.
+    /// A complete response once the sender of the channel sends or is dropped.
     UntilReleased(async_channel::Receiver<()>),
 }
 
-/// An upstream that answers as it is told, the last reply for ever.
+/// An upstream with programmed replies. The last reply is repeated.
 #[derive(Debug)]
 pub(crate) struct FakeUpstream {
     replies: Mutex<VecDeque<Reply>>,
-    /// What it was asked: the id and, if given, the event to go on after.
+    /// The ID of each request and, if given, the event to resume after.
     pub(crate) asked: Mutex<Vec<(String, Option<String>)>>,
-    /// When it was asked for anything.
+    /// When each request arrived.
     arrivals: Mutex<Vec<Instant>>,
-    /// The limit that it names in all of its answers.
+    /// The rate limit that all responses announce.
     limit: Mutex<Option<HeaderValue>>,
-    /// True once all of its answers say that it leaves.
+    /// True once all responses announce a shutdown.
     leaving: AtomicBool,
 }
 
@@ -91,23 +91,23 @@
         self.asked.lock().expect("a lock").len()
     }
 
-    /// Has it name a limit in all of its answers from now on, or none.
+    /// Sets the rate limit that all responses announce from now on.
     pub(crate) fn set_limit(&self, limit: Option<&'static str>) {
         let limit = limit.map(HeaderValue::from_static);
         *self.limit.lock().expect("a lock") = limit;
     }
 
-    /// Has all of its answers say from now on that it leaves.
+    /// Makes all responses announce a shutdown from now on.
     pub(crate) fn announce_leaving(&self) {
         self.leaving.store(true, Ordering::Relaxed);
     }
 
-    /// Has it answer so from now on.
+    /// Replaces the replies.
     pub(crate) fn set_replies(&self, replies: Vec<Reply>) {
         *self.replies.lock().expect("a lock") = replies.into();
     }
 
-    /// When it was asked for anything, whatever that was.
+    /// When each request of any kind arrived.
     pub(crate) fn arrivals(&self) -> Vec<Instant> {
         self.arrivals.lock().expect("a lock").clone()
     }
@@ -135,7 +135,7 @@
 impl Handler for FakeUpstream {
     fn handle(self: Arc<Self>, req: Request<Incoming>) -> HandlerFuture {
         self.arrivals.lock().expect("a lock").push(Instant::now());
-        // It has nothing to tell of its room, and that is no request of a caller.
+        // A storage query is not a request of a caller, and gets an empty response.
         if req.uri().path() == "/room" {
             return Box::pin(async move { self.with_notices(Response::new(jd_net::empty())) });
         }
@@ -170,8 +170,8 @@
                 },
                 Reply::Stream { parts, cut } => {
                     let parts = parts.iter().map(|p| Ok(Bytes::from_static(p.as_bytes())));
-                    // What was written is sent while the body has to be waited
-                    // for; broken off in the same breath it would be dropped.
+                    // Yield so that the parts are sent before the error: without it they
+                    // would be dropped with the connection.
                     let end = stream::once_future(async move {
                         future::yield_now().await;
                         cut.then(|| Err("broken off".into()))
@@ -181,7 +181,7 @@
                     answer(&id, StatusCode::OK, body)
                 }
                 Reply::UntilReleased(rx) => {
-                    // Closed means let go as well.
+                    // A closed channel releases the response as well.
                     let _ = rx.recv().await;
                     answer(&id, StatusCode::OK, jd_net::full("held"))
                 }
--- a/crates/gateway/tests/whole/fakes/harness.rs
+++ b/crates/gateway/tests/whole/fakes/harness.rs
@@ -1,4 +1,4 @@
-//! A gateway with its fakes, and a caller.
+//! A gateway with fake upstreams and a fake store, and a caller.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -32,16 +32,16 @@
 use crate::fakes::deployments::staged_deployment;
 use crate::fakes::start_gateway::start_gateway;
 
-/// What a caller received.
+/// The response that a caller received.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct CallerResponse {
     pub(crate) status: u16,
     pub(crate) body: String,
     /// False if the connection broke before the end.
     pub(crate) whole: bool,
-    /// What a refusal says of the run.
+    /// Whether the request ran, according to a refusal.
     pub(crate) run: Option<String>,
-    /// When a refusal says to come back.
+    /// The retry time of a refusal.
     pub(crate) retry: Option<Duration>,
 }
 
@@ -58,7 +58,7 @@
     servers: Vec<HttpServer>,
 }
 
-/// A further gateway and the store as it sees it.
+/// A further gateway and its view of the store.
 struct Member {
     store: Arc<FakeStore>,
     callers: SocketAddr,
@@ -68,18 +68,18 @@
 }
 
 impl Harness {
-    /// A gateway before upstreams that answer with these.
+    /// A gateway with one upstream for each list of replies.
     pub(crate) fn start(replies: Vec<Vec<Reply>>) -> Harness {
         Harness::start_with(replies, vec![Record::Deployment(Box::new(deployment()))])
     }
 
-    /// The same with an upstream of the stage before `/staged/`.
+    /// The same with an upstream for the stage of `/staged/`.
     pub(crate) fn start_with_stage(replies: Vec<Vec<Reply>>, stage: Vec<Reply>) -> Harness {
         let records = vec![Record::Deployment(Box::new(staged_deployment()))];
         Harness::start_services(replies, vec![stage], records)
     }
 
-    /// The same with two upstreams of the stage, the last of all.
+    /// The same with two upstreams for the stage, which are the last ones.
     pub(crate) fn start_with_two_stage_upstreams(
         replies: Vec<Vec<Reply>>,
         stage: Vec<Reply>,
@@ -127,26 +127,25 @@
         }
     }
 
-    /// Writes an entry under `id` that names this start, at the address of one of the
-    /// upstreams.
+    /// Writes an entry with this ID and start, at the address of one of the upstreams.
     pub(crate) fn announce(&self, id: &str, upstream: usize, start: UpstreamStart) {
         let address = self.servers[upstream].address();
         let record = entry(id, "pool", address, start);
         self.store.change(Change::Put(record));
     }
 
-    /// Has an upstream's entry say that it stands in another zone.
+    /// Changes the zone in an upstream's entry.
     pub(crate) fn set_zone(&self, upstream: usize, zone: &str) {
         let zone = Name::try_from(zone).expect("a name");
         self.rewrite_entry(upstream, |entry| entry.zone = zone);
     }
 
-    /// Has an upstream's entry say that it is cold.
+    /// Changes the cold time left in an upstream's entry.
     pub(crate) fn set_cold(&self, upstream: usize, left: Duration) {
         self.rewrite_entry(upstream, |entry| entry.cold_left = left);
     }
 
-    /// Has an upstream's entry say that it leaves.
+    /// Marks an upstream as leaving in its entry.
     #[allow(dead_code, reason = "used by the tests of restores")]
     pub(crate) fn leave(&self, upstream: usize) {
         self.rewrite_entry(upstream, |entry| entry.leaving = true);
@@ -170,14 +169,14 @@
         self.workers.executor()
     }
 
-    /// Starts further gateways at the same store.
+    /// Starts further gateways that use the same store.
     pub(crate) fn add_gateways(&mut self, count: usize) {
         for _ in 0..count {
             self.add_gateway(0, false);
         }
     }
 
-    /// Ends all gateways at once and starts as many anew at the same store.
+    /// Kills all gateways at once and starts as many again with the same store.
     pub(crate) fn restart_gateways(&mut self) {
         let count = self.fleet.len();
         self.fleet.clear();
@@ -190,14 +189,14 @@
         self.add_gateways(count);
     }
 
-    /// Ends so many of the gateways that were added, as a loss of power would.
+    /// Kills `count` of the added gateways without a shutdown, as a power failure would.
     pub(crate) fn kill_gateways(&mut self, count: usize) {
         let kept = self.fleet.len().saturating_sub(count);
         self.fleet.truncate(kept);
     }
 
-    /// Starts another gateway, for which the store refuses so many pages that are
-    /// not first ones, or every call if `away`; the store as it sees it.
+    /// Starts another gateway and returns its view of the store. The store refuses this gateway
+    /// `refused_pages` pages other than first pages, and every call if `away`.
     pub(crate) fn add_gateway(&mut self, refused_pages: usize, away: bool) -> Arc<FakeStore> {
         let executor = self.workers.executor();
         let store = Arc::new(self.store.seen_by_another());
@@ -214,8 +213,7 @@
         store
     }
 
-    /// Asks the gateway that was added last what it knows of the store, as one that has all
-    /// up to `after`, and waits for news.
+    /// Sends a follow request to the gateway that was added last, and waits for its updates.
     pub(crate) async fn follow(&self, asked: FollowRequest) -> FollowReply {
         let last = self.fleet.last().expect("a gateway");
         let channel = GrpcChannel::new(self.workers.executor(), last.peers);
@@ -223,13 +221,13 @@
         reply.expect("an answer").into_inner()
     }
 
-    /// The store as each gateway sees it, those that were added first.
+    /// The view of the store of each gateway, those of the added gateways first.
     fn stores(&self) -> impl Iterator<Item = &Arc<FakeStore>> {
         let added = self.fleet.iter().map(|m| &m.store);
         added.chain([&self.store])
     }
 
-    /// Waits until two gateways watch the store, and have seen all that it holds.
+    /// Waits until exactly two gateways watch the store and have seen all of its changes.
     pub(crate) async fn until_two_watch(&self) {
         let watch = |s: &&Arc<FakeStore>| s.watches() > 0 && s.is_seen();
         let all = || self.stores().map(|s| s.watches()).sum::<usize>();
@@ -238,8 +236,8 @@
         }
     }
 
-    /// Has the store turn away the gateways that watch it; how many of those that
-    /// were added it still serves.
+    /// Makes the store refuse the gateways that watch it. Returns how many of the added
+    /// gateways it still serves.
     pub(crate) fn turn_away_watching(&self) -> usize {
         let watch = |s: &&Arc<FakeStore>| s.watches() > 0;
         let watching: Vec<&Arc<FakeStore>> = self.stores().filter(watch).collect();
@@ -252,14 +250,14 @@
             .count()
     }
 
-    /// Has the store answer nothing any more to the gateways that watch it.
+    /// Makes the store stop answering the gateways that watch it.
     pub(crate) fn silence_watching(&self) {
         for store in self.stores().filter(|s| s.watches() > 0) {
             store.fall_silent();
         }
     }
 
-    /// Asks the gateways that were added until so many of them serve a path.
+    /// Sends requests to the added gateways until `count` of them serve a path.
     pub(crate) async fn until_served_by(&self, path: &str, count: usize) {
         let mut serve = 0;
         while serve < count {
@@ -271,7 +269,7 @@
         }
     }
 
-    /// Asks every gateway that was added until each answers with `status`.
+    /// Sends requests to each added gateway until it answers with `status`.
     pub(crate) async fn until_all_answer(&self, path: &str, status: u16) {
         for member in &self.fleet {
             while self.get(member.callers, path, "x", "key-1").await.status != status {
@@ -280,7 +278,7 @@
         }
     }
 
-    /// Waits until instances have written so many entries; who wrote the last of them.
+    /// Waits until instances have written `count` entries. Returns the writer of the last one.
     pub(crate) async fn until_announced(&self, count: usize) -> Incarnation {
         loop {
             let written = self.store.announced();
@@ -291,7 +289,7 @@
         }
     }
 
-    /// Waits until the gateway says that it is ready, or is not.
+    /// Waits until the readiness probe of the gateway returns `expected`.
     pub(crate) async fn until_ready(&self, expected: bool) {
         loop {
             let status = self.get(self.ready, "/", "probe", "").await.status;
@@ -302,19 +300,19 @@
         }
     }
 
-    /// Sends a request with a credential in force.
+    /// Sends a request with a valid credential.
     pub(crate) async fn ask(&self, path: &str, id: &str) -> CallerResponse {
         self.get(self.callers, path, id, "key-1").await
     }
 
-    /// Sends a request to one instance of the fleet; numbers go round.
+    /// Sends a request to instance `n` of the fleet, modulo its size.
     pub(crate) async fn ask_instance(&self, n: usize, path: &str, id: &str) -> CallerResponse {
         let members = self.fleet.iter().map(|m| m.callers);
         let all: Vec<SocketAddr> = members.chain([self.callers]).collect();
         self.get(all[n % all.len()], path, id, "key-1").await
     }
 
-    /// What a counter has reached on all gateways together.
+    /// The sum of a counter over all gateways.
     pub(crate) async fn counter_total(&self, counter: &str) -> u64 {
         let mut sum = 0;
         let added = self.fleet.iter().map(|m| m.metrics);
@@ -338,7 +336,7 @@
         self.get(self.callers, path, "x", key).await
     }
 
-    /// Runs `f` beside the test.
+    /// Runs `f` concurrently with the test.
     pub(crate) fn spawn<T: Send + 'static>(
         &self,
         f: impl Future<Output = T> + Send + 'static,
--- a/crates/gateway/tests/whole/fakes/mod.rs
+++ b/crates/gateway/tests/whole/fakes/mod.rs
@@ -1,4 +1,4 @@
-//! A store, a dialect and upstreams for tests of the whole gateway.
+//! Fakes of the store, the dialect and upstreams for tests of whole gateways.
 
 mod deployments;
 pub(crate) mod ending_fleet;
--- a/crates/gateway/tests/whole/fakes/start_gateway.rs
+++ b/crates/gateway/tests/whole/fakes/start_gateway.rs
@@ -1,4 +1,4 @@
-//! Starting one gateway of a test.
+//! Starts a gateway for a test.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 use crate::fakes::FakeDialect;
 use crate::fakes::FakeStore;
 
-/// A gateway that was started, and where it answers.
+/// A running gateway and its addresses.
 pub(crate) struct Started {
     pub(crate) gateway: Arc<Gateway>,
     pub(crate) callers: SocketAddr,
@@ -23,7 +23,7 @@
     pub(crate) metrics: SocketAddr,
 }
 
-/// Starts a gateway at a store, on addresses of its own.
+/// Starts a gateway that uses `store`, on addresses of its own.
 pub(crate) fn start_gateway(
     executor: &Arc<Executor<'static>>,
     pool: &HttpPool,
@@ -54,13 +54,13 @@
     }
 }
 
-/// Addresses that nobody else has: each set is of a loopback address of its own.
-/// Free ports of one address are taken by others before they are bound again.
+/// Addresses that no other test uses: each set has its own loopback address. Free ports of one
+/// shared address could be taken by other tests before they are bound.
 fn own_addresses<const N: usize>() -> [SocketAddr; N] {
     static SETS: AtomicU32 = AtomicU32::new(0);
     let set = SETS.fetch_add(1, Ordering::Relaxed);
     let [_, _, high, low] = std::process::id().to_be_bytes();
-    // The last part of an address is from 2 to 251; further sets have other ports.
+    // The last octet is between 2 and 251; further sets have other ports.
     let last = u8::try_from(set % 250 + 2).expect("a part of an address");
     let round = u16::try_from(set / 250).expect("fewer gateways than ports");
     let mut ports = 7_001 + 100 * round..;
--- a/crates/gateway/tests/whole/leaving.rs
+++ b/crates/gateway/tests/whole/leaving.rs
@@ -1,4 +1,4 @@
-//! Upstreams that say in their answers that they leave.
+//! Upstreams that announce in their responses that they are shutting down.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,72 +24,73 @@
 use crate::fakes::noticing::arrivals;
 use crate::fakes::noticing::gateway;
 
-/// Requests go on to an upstream that has said in its answers that it leaves, since the
-/// store goes on listing it as ready.
+/// Guards against further requests to an upstream that has announced its shutdown in its
+/// responses while the store still lists it as ready.
 #[test_case("/any/x", 0; "plain")]
 #[test_case("/stream/x", 0; "streamed")]
 #[test_case("/staged/x", 0; "after stages")]
 #[test_case("/staged/x", 3; "pieces")]
-fn an_upstream_that_says_it_leaves_gets_nothing_new(path: &'static str, leaving: usize) {
+fn an_upstream_that_announces_its_shutdown_gets_nothing_new(path: &'static str, leaving: usize) {
     let harness = gateway(3);
     block_on(async {
         harness.until_ready(true).await;
         harness.upstreams[leaving].announce_leaving();
         repeat(&harness, path, PAUSE, ON_ITS_WAY).await;
-        let counted = Instant::now();
+        let measured_from = Instant::now();
         all_served(&repeat(&harness, path, PAUSE, LOAD).await);
-        let late = arrivals(&harness.upstreams[leaving], counted, Instant::now());
-        assert_eq!(late, 0, "sent after it had said that it leaves");
+        let late = arrivals(&harness.upstreams[leaving], measured_from, Instant::now());
+        assert_eq!(late, 0, "sent after the upstream announced its shutdown");
     });
 }
 
-/// The same while the store is away, so that no entry can say so, and after its return, when
-/// the entry still says that the upstream is ready.
+/// The same during a store outage, in which no entry can be updated, and after it, when the
+/// entry still says that the upstream is ready.
 #[test]
-fn an_upstream_that_says_it_leaves_is_left_while_the_store_is_away() {
+fn an_upstream_that_announces_its_shutdown_is_avoided_during_a_store_outage() {
     let harness = gateway(3);
     block_on(async {
         harness.until_ready(true).await;
         harness.store.set_away(true);
         harness.upstreams[0].announce_leaving();
         repeat(&harness, "/open/x", PAUSE, ON_ITS_WAY).await;
-        let counted = Instant::now();
+        let measured_from = Instant::now();
         all_served(&repeat(&harness, "/open/x", PAUSE, LOAD).await);
         harness.store.set_away(false);
         harness.set_cold(0, Duration::ZERO);
         all_served(&repeat(&harness, "/open/x", PAUSE, LOAD).await);
-        let late = arrivals(&harness.upstreams[0], counted, Instant::now());
-        assert_eq!(late, 0, "sent after it had said that it leaves");
+        let late = arrivals(&harness.upstreams[0], measured_from, Instant::now());
+        assert_eq!(late, 0, "sent after the upstream announced its shutdown");
     });
 }
 
-/// The upstream says so while its zone is evacuated, and gets requests again with the zone.
+/// Guards against requests to an upstream that announced its shutdown while its zone was
+/// evacuated, after the zone is taken back.
 #[test]
-fn an_upstream_that_leaves_in_an_evacuated_zone_is_left_when_the_zone_is_taken_back() {
+fn an_upstream_that_shuts_down_in_an_evacuated_zone_is_avoided_after_the_zone_is_taken_back() {
     let harness = gateway(3);
     let zone = Name::try_from("b").expect("a name");
     block_on(async {
         harness.until_ready(true).await;
         harness.set_zone(0, "b");
-        let held = until_held(&harness).await;
+        let held = send_until_held(&harness).await;
         harness
             .store
             .change(Change::Put(Record::EvacuatedZone(zone.clone())));
-        until_left(&harness).await;
+        wait_until_avoided(&harness).await;
         harness.upstreams[0].announce_leaving();
         drop(held.0);
         assert_eq!(held.1.await.status, 200);
         harness.store.change(Change::ZoneTakenBack(zone));
-        let counted = Instant::now();
+        let measured_from = Instant::now();
         all_served(&repeat(&harness, "/any/x", PAUSE, LOAD).await);
-        let late = arrivals(&harness.upstreams[0], counted, Instant::now());
-        assert_eq!(late, 0, "sent after it had said that it leaves");
+        let late = arrivals(&harness.upstreams[0], measured_from, Instant::now());
+        assert_eq!(late, 0, "sent after the upstream announced its shutdown");
     });
 }
 
-/// An answer that says so breaks after its head.
+/// The response that announces the shutdown breaks off after its head.
 #[test]
-fn an_answer_that_breaks_still_says_that_its_upstream_leaves() {
+fn a_response_that_breaks_off_still_announces_the_shutdown() {
     let harness = gateway(2);
     block_on(async {
         harness.until_ready(true).await;
@@ -99,17 +100,17 @@
         }]);
         harness.upstreams[0].announce_leaving();
         repeat(&harness, "/any/x", PAUSE, ON_ITS_WAY).await;
-        let counted = Instant::now();
+        let measured_from = Instant::now();
         all_served(&repeat(&harness, "/any/x", PAUSE, LOAD).await);
-        let late = arrivals(&harness.upstreams[0], counted, Instant::now());
-        assert_eq!(late, 0, "sent after it had said that it leaves");
+        let late = arrivals(&harness.upstreams[0], measured_from, Instant::now());
+        assert_eq!(late, 0, "sent after the upstream announced its shutdown");
     });
 }
 
-/// Another upstream has been given the address. It refuses, and what it says of itself must not
-/// count for the one that was asked.
+/// Another upstream has the address now and refuses the request. Its notices must not be applied
+/// to the upstream that the request was meant for.
 #[test]
-fn what_another_upstream_at_the_address_says_is_not_the_word_of_the_one_asked() {
+fn notices_of_another_upstream_at_the_address_are_ignored() {
     let harness = gateway(1);
     block_on(async {
         harness.until_ready(true).await;
@@ -127,17 +128,17 @@
     });
 }
 
-/// An entry outlasts its upstream, whose address another has: all that is sent there comes back.
-/// Once its entry is written again it is used.
+/// An entry outlasts its upstream, and another upstream has the address and refuses all requests.
+/// The upstream is avoided until its entry is written again.
 #[test]
-fn an_upstream_whose_address_another_has_is_left_until_it_is_written_again() {
+fn an_upstream_whose_address_is_taken_is_avoided_until_its_entry_is_written_again() {
     let harness = gateway(2);
     block_on(async {
         harness.until_ready(true).await;
         harness.upstreams[0].set_replies(vec![Reply::Misdirected]);
         all_served(&repeat(&harness, "/any/x", PAUSE, LOAD).await);
         let sent = harness.upstreams[0].count();
-        assert!(sent <= 2, "{sent} requests came back");
+        assert!(sent <= 2, "{sent} requests were refused");
         harness.upstreams[0].set_replies(vec![Reply::Complete("its answer")]);
         harness.set_cold(0, Duration::from_millis(1));
         while harness.upstreams[0].count() == sent {
@@ -146,34 +147,35 @@
     });
 }
 
-/// A request that the first upstream works on until the sender is dropped.
-async fn until_held(harness: &Arc<Harness>) -> (Sender<()>, Task<CallerResponse>) {
+/// Sends requests until the first upstream holds one, which it answers once the returned sender
+/// is dropped.
+async fn send_until_held(harness: &Arc<Harness>) -> (Sender<()>, Task<CallerResponse>) {
     let (tx, rx) = async_channel::bounded(1);
     harness.upstreams[0].set_replies(vec![Reply::UntilReleased(rx)]);
     loop {
-        let asked = harness.upstreams[0].count();
+        let received = harness.upstreams[0].count();
         let caller = Arc::clone(harness);
-        let asking = harness.spawn(async move { caller.ask("/any/x", "held").await });
+        let response = harness.spawn(async move { caller.ask("/any/x", "held").await });
         let answered = async {
-            while harness.upstreams[0].count() == asked && !asking.is_finished() {
+            while harness.upstreams[0].count() == received && !response.is_finished() {
                 Timer::after(Duration::from_millis(5)).await;
             }
         };
         answered.await;
-        if harness.upstreams[0].count() > asked {
+        if harness.upstreams[0].count() > received {
             harness.upstreams[0].set_replies(vec![Reply::Complete("its answer")]);
-            return (tx, asking);
+            return (tx, response);
         }
-        asking.await;
+        response.await;
     }
 }
 
-/// Waits until nothing new goes to the first upstream.
-async fn until_left(harness: &Arc<Harness>) {
+/// Waits until no new requests reach the first upstream.
+async fn wait_until_avoided(harness: &Arc<Harness>) {
     loop {
-        let asked = harness.upstreams[0].count();
+        let received = harness.upstreams[0].count();
         repeat(harness, "/any/x", PAUSE, ON_ITS_WAY).await;
-        if harness.upstreams[0].count() == asked {
+        if harness.upstreams[0].count() == received {
             return;
         }
     }
--- a/crates/gateway/tests/whole/main.rs
+++ b/crates/gateway/tests/whole/main.rs
@@ -1,4 +1,4 @@
-//! Whole gateways, with upstreams and a store that fail.
+//! Integration tests of whole gateways, with failing upstreams and a failing store.
 
 #![allow(clippy::expect_used, clippy::panic)]
 
--- a/crates/gateway/tests/whole/requests.rs
+++ b/crates/gateway/tests/whole/requests.rs
@@ -1,4 +1,4 @@
-//! Requests through a whole gateway, with upstreams and a store that fail.
+//! Requests through a whole gateway, with failing upstreams and a failing store.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use crate::fakes::Reply;
 use crate::fakes::deployment;
 
-fn asked(harness: &Harness) -> usize {
+fn requests_received(harness: &Harness) -> usize {
     harness.upstreams.iter().map(|u| u.count()).sum()
 }
 
@@ -35,22 +35,22 @@
     });
 }
 
-/// An upstream sends the late answer to somebody else's request. It looks like
-/// an answer; handed on, one caller would read another's.
+/// An upstream sends the late response to another request. If it were passed on, a caller would
+/// read the response of another caller.
 #[test]
-fn an_answer_to_another_request_reaches_nobody() {
+fn a_response_to_another_request_is_not_passed_on() {
     let harness = Harness::start(vec![vec![Reply::Crossed], vec![Reply::Crossed]]);
     block_on(async {
         harness.until_ready(true).await;
         let received = harness.ask("/any/x", "1").await;
         assert_eq!(received.status, 502);
         assert!(!received.body.contains("theirs"));
-        assert_eq!(asked(&harness), 2);
+        assert_eq!(requests_received(&harness), 2);
     });
 }
 
-/// The same for a booking: it may have run, so it is neither sent again nor
-/// answered with a status that says that it has not.
+/// The same for a booking: it may have run, so it is neither sent again nor refused with a
+/// status that says that it did not run.
 #[test]
 fn a_booking_that_may_have_run_is_not_sent_again() {
     let harness = Harness::start(vec![vec![Reply::Crossed], vec![Reply::Crossed]]);
@@ -59,25 +59,26 @@
         let received = harness.ask("/once/x", "1").await;
         assert_eq!(received.status, 502);
         assert_eq!(received.run.as_deref(), Some("may have run"));
-        assert_eq!(asked(&harness), 1);
+        assert_eq!(requests_received(&harness), 1);
     });
 }
 
-/// Every upstream is full and says so. Nothing ran, so the refusal may say it.
+/// Every upstream is full and states that it did not run the request, so that the refusal can
+/// state it too.
 #[test]
-fn a_booking_that_nobody_ran_is_refused_as_not_run() {
+fn a_booking_that_no_upstream_ran_is_refused_as_not_run() {
     let harness = Harness::start(vec![vec![Reply::NotRun], vec![Reply::NotRun]]);
     block_on(async {
         harness.until_ready(true).await;
         let received = harness.ask("/once/x", "1").await;
         assert_eq!(received.status, 503);
         assert_eq!(received.run.as_deref(), Some("not run"));
-        assert_eq!(asked(&harness), 2);
+        assert_eq!(requests_received(&harness), 2);
     });
 }
 
 #[test]
-fn an_idempotent_request_outlives_one_failing_upstream() {
+fn an_idempotent_request_survives_one_failing_upstream() {
     let harness = Harness::start(vec![vec![Reply::Failure, Reply::Complete("yours")]; 2]);
     block_on(async {
         harness.until_ready(true).await;
@@ -86,9 +87,10 @@
     });
 }
 
-/// When both fail, the upstream's own failure is passed on, not one of ours.
+/// When both upstreams fail, the error response of the upstream is passed on instead of a
+/// refusal of the gateway.
 #[test]
-fn an_upstreams_own_failure_is_passed_on() {
+fn an_upstreams_error_response_is_passed_on() {
     let harness = Harness::start(vec![vec![Reply::Failure], vec![Reply::Failure]]);
     block_on(async {
         harness.until_ready(true).await;
@@ -100,11 +102,11 @@
 const FIRST_HALF: &[&str] = &["id: 1\ndata: a\n\n", "id: 2\nda"];
 const SECOND_HALF: &[&str] = &["id: 2\ndata: b\n\n", "id: 3\ndata: c\n\n"];
 
-/// An upstream stops in the middle of the second event. The caller gets every
-/// event once and whole: the stream goes on elsewhere after the first.
+/// An upstream breaks off in the middle of the second event. The caller gets every event once
+/// and complete: the stream resumes on another upstream after the first event.
 #[test]
-fn a_resumable_stream_goes_on_elsewhere_without_a_gap() {
-    let torn = Reply::Stream {
+fn a_resumable_stream_resumes_on_another_upstream_without_a_gap() {
+    let broken_off = Reply::Stream {
         parts: FIRST_HALF,
         cut: true,
     };
@@ -112,10 +114,13 @@
         parts: SECOND_HALF,
         cut: false,
     };
-    let harness = Harness::start(vec![vec![torn.clone(), rest.clone()], vec![torn, rest]]);
+    let harness = Harness::start(vec![
+        vec![broken_off.clone(), rest.clone()],
+        vec![broken_off, rest],
+    ]);
     block_on(async {
         harness.until_ready(true).await;
-        // Whichever upstream is asked first breaks off, and so may the second.
+        // The first upstream breaks off, and the second one may do so as well.
         let received = harness.ask("/resume/x", "1").await;
         assert!(received.body.starts_with("id: 1\ndata: a\n\n"));
         let again = harness.ask("/resume/x", "2").await;
@@ -129,27 +134,27 @@
     });
 }
 
-/// The same where it must not run twice: the caller has to see that it broke.
+/// The same for a request that must not run twice: the caller has to see that the stream broke.
 #[test]
-fn a_stream_that_may_not_go_on_is_visibly_cut() {
-    let torn = Reply::Stream {
+fn a_stream_that_may_not_resume_is_visibly_cut_off() {
+    let broken_off = Reply::Stream {
         parts: FIRST_HALF,
         cut: true,
     };
-    let harness = Harness::start(vec![vec![torn.clone()], vec![torn]]);
+    let harness = Harness::start(vec![vec![broken_off.clone()], vec![broken_off]]);
     block_on(async {
         harness.until_ready(true).await;
         let received = harness.ask("/stream/x", "1").await;
         assert!(!received.whole);
         assert_eq!(received.body, "id: 1\ndata: a\n\n");
-        assert_eq!(asked(&harness), 1);
+        assert_eq!(requests_received(&harness), 1);
     });
 }
 
-/// A process that has just started knows no route and no credential. Refused
-/// for good then, callers with everything in order would not ask again.
+/// An instance that has just started knows no route and no credential. A final refusal would
+/// keep callers with a valid route and credential from retrying.
 #[test]
-fn without_a_configuration_nothing_is_refused_for_good() {
+fn without_a_configuration_no_refusal_is_final() {
     let harness = Harness::start_with(vec![vec![Reply::Complete("yours")]], Vec::new());
     block_on(async {
         let received = harness.ask("/any/x", "1").await;
@@ -159,19 +164,19 @@
 }
 
 #[test]
-fn unknown_routes_and_credentials_are_refused_for_good() {
+fn refusals_of_unknown_routes_and_credentials_are_final() {
     let harness = Harness::start(vec![vec![Reply::Complete("yours")]]);
     block_on(async {
         harness.until_ready(true).await;
         assert_eq!(harness.ask("/none/x", "1").await.status, 404);
         assert_eq!(harness.ask_with_key("/any/x", "key-2").await.status, 401);
-        assert_eq!(asked(&harness), 0);
+        assert_eq!(requests_received(&harness), 0);
     });
 }
 
-/// The store does not answer any more. A credential may be taken away without
-/// this instance hearing of it, so that after a while it must not act on what
-/// it knows, nor refuse for good on the strength of it.
+/// The store stops answering. A credential may be revoked without this instance learning of it,
+/// so that after a while the instance must neither serve requests nor refuse them finally on the
+/// basis of its old configuration.
 #[test]
 fn without_proof_nothing_runs_until_the_store_is_back() {
     let harness = Harness::start(vec![vec![Reply::Complete("yours")]]);
@@ -181,22 +186,22 @@
         harness.until_ready(false).await;
         assert_eq!(harness.ask("/any/x", "1").await.status, 503);
         assert_eq!(harness.ask_with_key("/any/x", "key-2").await.status, 503);
-        assert_eq!(asked(&harness), 0);
+        assert_eq!(requests_received(&harness), 0);
         harness.store.set_away(false);
         harness.until_ready(true).await;
         assert_eq!(harness.ask("/any/x", "2").await, answered("yours"));
     });
 }
 
-/// An upstream's entry is removed while the store is well: its address may soon
-/// belong to another service, and nothing new may reach it.
+/// An upstream's entry is removed while the store is available: its address may soon belong to
+/// another service, so that the upstream must not get new requests.
 #[test]
 fn an_upstream_that_is_gone_gets_nothing_new() {
     let harness = Harness::start(vec![vec![Reply::Complete("a")], vec![Reply::Complete("b")]]);
     block_on(async {
         harness.until_ready(true).await;
         harness.store.change(Change::UpstreamGone("i-0".into()));
-        // Removed after an absence of the store its entry would count as lapsed.
+        // A removal seen only after a store outage would count as the expiry of the entry.
         while !harness.store.is_seen() {
             async_io::Timer::after(Duration::from_millis(2)).await;
         }
@@ -213,33 +218,33 @@
     });
 }
 
-/// A planned stop comes while an upstream works on a request: the caller gets
-/// its whole answer, and the instance is out of the answers about addresses.
+/// A planned shutdown begins while an upstream runs a request: the caller gets its complete
+/// response, and the instance is removed from address responses.
 #[test]
-fn a_stop_cuts_no_request_short() {
+fn a_shutdown_cuts_off_no_request() {
     let (tx, rx) = async_channel::bounded(1);
     let harness = Harness::start(vec![vec![Reply::UntilReleased(rx)]]);
     let harness = Arc::new(harness);
     block_on(async {
         harness.until_ready(true).await;
         let caller = Arc::clone(&harness);
-        let asking = harness.spawn(async move { caller.ask("/once/x", "1").await });
-        while asked(&harness) == 0 {
+        let response = harness.spawn(async move { caller.ask("/once/x", "1").await });
+        while requests_received(&harness) == 0 {
             async_io::Timer::after(Duration::from_millis(2)).await;
         }
         let gateway = Arc::clone(&harness.gateway);
         let stopping = harness.spawn(async move { gateway.stop().await });
         harness.until_ready(false).await;
         drop(tx);
-        assert_eq!(asking.await, answered("held"));
+        assert_eq!(response.await, answered("held"));
         stopping.await;
     });
 }
 
-/// The operator lowers the bound on heads. Callers beyond it get a final answer,
-/// and nothing of their request reaches an upstream.
+/// The operator lowers the limit on request heads. Requests above it get a final refusal, and
+/// nothing of them reaches an upstream.
 #[test]
-fn the_operators_bound_on_heads_is_followed() {
+fn a_lowered_limit_on_request_heads_is_applied() {
     let harness = Harness::start(vec![vec![Reply::Complete("yours")]]);
     block_on(async {
         harness.until_ready(true).await;
@@ -249,18 +254,18 @@
         lower.limits.head_bytes = 8_192;
         let change = Change::Put(Record::Deployment(Box::new(lower)));
         harness.store.change(change);
-        let before = asked(&harness);
+        let before = requests_received(&harness);
         let mut allowed = 0;
         while harness.ask_with_head("/any/x", 9_000).await.status != 431 {
             allowed += 1;
         }
-        assert_eq!(asked(&harness), before + allowed);
+        assert_eq!(requests_received(&harness), before + allowed);
     });
 }
 
-/// A stream is sent and brings an answer that proves nothing; the next upstream
-/// says that the results of its stages are gone, and they cannot be made again.
-/// The stages' own refusal is `not run`, which is not true of the request.
+/// A streaming request gets a response to another request, so that it may have run. The next
+/// upstream answers that the stage results are gone, and the stages fail when they run again.
+/// The refusal of the stages says `not run`, which is not true of the request.
 #[test]
 fn stages_that_fail_after_a_send_do_not_make_it_not_run() {
     let reply = Reply::CrossedThenInputsGone(Arc::default());
@@ -274,11 +279,11 @@
     });
 }
 
-/// Guards against an upstream's own failure that is lost because a second one breaks its
-/// answer off: the caller gets the failure, as the upstream gave it.
+/// Guards against losing the error response of one upstream because the response of a second one
+/// breaks off: the caller gets the error response unchanged.
 #[test]
-fn an_upstreams_own_failure_outlives_a_second_answer_that_is_cut_off() {
-    // Which of the two is asked first is drawn.
+fn an_upstreams_error_response_is_passed_on_after_a_second_response_that_is_cut_off() {
+    // The order of the two upstreams is random.
     for _ in 0..8 {
         let cut = Reply::Stream {
             parts: &["half"],
