--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -37,7 +37,7 @@
 #[derive(Debug)]
 pub(crate) struct UpstreamResponse {
     pub(crate) head: ResponseHead,
-    pub(crate) response: HttpResponse,
+    pub(crate) http: HttpResponse,
     pub(crate) attempt: ActiveAttempt,
 }
 
@@ -52,7 +52,7 @@
     /// When the first part of the response body arrived.
     first_part: Option<MonoTime>,
     completed: bool,
-    over: bool,
+    finished: bool,
 }
 
 impl ActiveAttempt {
@@ -70,7 +70,7 @@
             first_part: None,
             completed: false,
             chosen,
-            over: false,
+            finished: false,
         }
     }
 
@@ -120,7 +120,7 @@
     }
 
     pub(crate) fn finish(&mut self, outcome: AttemptOutcome) {
-        if std::mem::replace(&mut self.over, true) {
+        if std::mem::replace(&mut self.finished, true) {
             return;
         }
         let now = self.state.now();
@@ -246,7 +246,7 @@
     match result {
         Ok((head, response)) => Ok(UpstreamResponse {
             head,
-            response,
+            http: response,
             attempt,
         }),
         Err(failure) => {
@@ -270,7 +270,7 @@
 }
 
 /// Accepts a response only if it names this request: a duplicate or late response to another
-/// request can arrive on the same connection.
+/// request otherwise looks the same.
 fn validate(
     state: &State,
     request: &CallerRequest,
--- a/crates/gateway/src/batch_dispatcher.rs
+++ b/crates/gateway/src/batch_dispatcher.rs
@@ -34,8 +34,8 @@
 use crate::upstream_client::Withheld;
 use crate::upstream_table::UpstreamTable;
 
-/// How often waiting pieces are scheduled without an event: for upstreams whose backoff
-/// has ended and for jobs whose deadline has passed.
+/// How often waiting pieces are scheduled without an event: for upstreams that were avoided
+/// for a while and for jobs whose deadline has passed.
 const TICK: Duration = Duration::from_millis(30);
 /// How many ticks pass between two checks of shard ownership.
 const TICKS_PER_OWNERSHIP_CHECK: u32 = 4;
@@ -235,16 +235,16 @@
 
     /// Queries an upstream for its free result storage.
     async fn query_storage(self: Arc<Self>, shard: Shard, question: RoomQuestion) {
-        let told = self.storage_report(&question).await;
+        let report = self.storage_report(&question).await;
         log::info!(
             service = question.service.as_str(),
             upstream = question.upstream.as_str(),
-            free:? = told.map(|t| t.free);
+            free:? = report.map(|t| t.free);
             "storage queried"
         );
         if let Some(entry) = lock(&self.schedulers).get_mut(&shard) {
             let now = self.state.now();
-            entry.scheduler.told_room(now, &question, told);
+            entry.scheduler.told_room(now, &question, report);
         }
         self.schedule(&shard);
     }
--- a/crates/gateway/src/caller_api.rs
+++ b/crates/gateway/src/caller_api.rs
@@ -59,7 +59,7 @@
     fn handle(self: Arc<Self>, req: Request<Incoming>) -> HandlerFuture {
         Box::pin(async move {
             let arrived = self.state.now();
-            let mut res = self.answer(arrived, req).await;
+            let mut res = self.respond(arrived, req).await;
             if self.state.is_leaving() {
                 let close = HeaderValue::from_static("close");
                 res.headers_mut().insert(CONNECTION, close);
@@ -70,7 +70,7 @@
 }
 
 impl CallerApi {
-    async fn answer(&self, arrived: MonoTime, req: Request<Incoming>) -> Response<Body> {
+    async fn respond(&self, arrived: MonoTime, req: Request<Incoming>) -> Response<Body> {
         let (parts, body) = req.into_parts();
         let head = self.state.dialect.call_head(&parts);
         let id = head.request_id.clone();
--- a/crates/gateway/src/event_stream.rs
+++ b/crates/gateway/src/event_stream.rs
@@ -71,7 +71,7 @@
         EventStream {
             state: Arc::clone(state),
             request,
-            response: Some(response.response),
+            response: Some(response.http),
             attempt: response.attempt,
             stages: Arc::clone(stages),
             results,
@@ -230,7 +230,7 @@
                         last_event:? = last;
                         "stream resumed on another upstream"
                     );
-                self.response = Some(response.response);
+                self.response = Some(response.http);
                 self.attempt = response.attempt;
                 return true;
             }
--- a/crates/gateway/src/stage_runner.rs
+++ b/crates/gateway/src/stage_runner.rs
@@ -251,14 +251,14 @@
         let prompt = request.head.prompt.as_ref()?;
         let (now, instances) = (self.state.now(), self.state.instance_count());
         let table = self.state.upstreams.load();
-        let check = self.state.unfiltered();
+        let filter = self.state.unfiltered();
         let chosen = table.pick_for_session(
             &request.service,
             now,
             prompt.session(),
             instances,
             &[],
-            &check,
+            &filter,
         )?;
         Some(chosen.upstream.hall.clone())
     }
--- a/crates/gateway/src/streaming_call.rs
+++ b/crates/gateway/src/streaming_call.rs
@@ -72,9 +72,9 @@
             .or(results.release_when_read(&request_written))
             .await;
         let failure = match sent {
-            Ok(answer) => {
+            Ok(response) => {
                 retries.possible_runs += 1;
-                return begin_response(state, stages, request, answer, results, retries).await;
+                return begin_response(state, stages, request, response, results, retries).await;
             }
             Err(NextSendError::Refused(refusal)) => return Err(refusal),
             Err(NextSendError::Failed(failure)) => failure,
@@ -104,34 +104,34 @@
     state: &Arc<State>,
     stages: &Arc<StageRunner>,
     request: CallerRequest,
-    answer: UpstreamResponse,
+    response: UpstreamResponse,
     results: StageResults,
     retries: RetryState,
 ) -> Result<Response<Body>, Refusal> {
-    let headers = state.dialect.caller_headers(&answer.response.headers);
-    let status = answer.head.status;
+    let headers = state.dialect.caller_headers(&response.http.headers);
+    let status = response.head.status;
     let took = state.now().since(request.arrived);
     log::info!(
         request = request.id(),
             content:% = request.content,
         route = request.route().name.as_str(),
-        upstream = answer.attempt.id(),
+        upstream = response.attempt.id(),
         status = status.as_u16(),
         config = request.router.version,
         attempts = retries.tried.len(),
-        sent_ms = answer.attempt.sent_ms(&request),
+        sent_ms = response.attempt.sent_ms(&request),
         ms = took.as_millis() as u64;
         "answer began"
     );
     let body = match status.is_success() {
         true => {
             state.metrics.request("answered", took);
-            let events = EventStream::new(state, stages, request, answer, results, retries);
+            let events = EventStream::new(state, stages, request, response, results, retries);
             jd_net::stream(unfold(events, EventStream::next))
         }
         false => {
             state.metrics.request("failed", took);
-            error_body(state, &request, answer).await?
+            error_body(state, &request, response).await?
         }
     };
     let mut res = Response::new(body);
@@ -143,11 +143,11 @@
 async fn error_body(
     state: &State,
     request: &CallerRequest,
-    answer: UpstreamResponse,
+    response: UpstreamResponse,
 ) -> Result<Body, Refusal> {
-    let mut attempt = answer.attempt;
+    let mut attempt = response.attempt;
     let left = request.time_left(state.now());
-    let read = within(left, answer.response.whole(MAX_ERROR_BODY)).await;
+    let read = within(left, response.http.whole(MAX_ERROR_BODY)).await;
     if let Some(Ok(_)) = &read {
         attempt.mark_completed();
     }
--- a/crates/gateway/src/unary_call.rs
+++ b/crates/gateway/src/unary_call.rs
@@ -50,9 +50,9 @@
         let sending =
             send_to_next_upstream(state, &request, &mut retries, &[], None, timeout, || {});
         let attempted = match (sending.await, error_response.take()) {
-            (Ok(answer), kept) => {
+            (Ok(response), kept) => {
                 error_response = kept;
-                Ok(answer)
+                Ok(response)
             }
             (Err(NextSendError::Failed(failure)), kept) => {
                 error_response = kept;
@@ -64,7 +64,7 @@
             (Err(NextSendError::Refused(refusal)), None) => return Err(refusal),
         };
         let result = match attempted {
-            Ok(answer) => read_complete(state, &request, answer).await,
+            Ok(response) => read_complete(state, &request, response).await,
             Err(failure) => Err(failure),
         };
         let failure = match result {
@@ -123,22 +123,20 @@
 async fn read_complete(
     state: &State,
     request: &CallerRequest,
-    answer: UpstreamResponse,
+    response: UpstreamResponse,
 ) -> Result<CompleteResponse, AttemptFailure> {
     let UpstreamResponse {
         head,
-        response,
+        http,
         mut attempt,
-    } = answer;
-    let headers = state.dialect.caller_headers(&response.headers);
+    } = response;
+    let headers = state.dialect.caller_headers(&http.headers);
     let left = request.time_left(state.now());
     let restarted = async {
         attempt.until_restarted().await;
         Some(Err(SendError::Broken))
     };
-    let read = within(left, response.whole(MAX_RESPONSE))
-        .or(restarted)
-        .await;
+    let read = within(left, http.whole(MAX_RESPONSE)).or(restarted).await;
     let (outcome, detail) = match read {
         Some(Ok(body)) => {
             attempt.mark_completed();
--- a/crates/gateway/src/upstream_selection.rs
+++ b/crates/gateway/src/upstream_selection.rs
@@ -143,9 +143,9 @@
     }
     request.check_quarantine(state, retries.possible_runs)?;
     let table = state.upstreams.load();
-    let mut check = state.selection_filter(&request.service);
+    let mut filter = state.selection_filter(&request.service);
     if retries.withheld >= MAX_WITHHELD_LIMITED {
-        check.limit_filter = LimitFilter::Unlimited;
+        filter.limit_filter = LimitFilter::Unlimited;
     }
     let tried = &retries.tried;
     let chosen = match &request.head.prompt {
@@ -153,9 +153,9 @@
         Some(prompt) => {
             let instances = state.instance_count();
             let session = prompt.session();
-            table.pick_for_session(&request.service, now, session, instances, tried, &check)
+            table.pick_for_session(&request.service, now, session, instances, tried, &filter)
         }
-        None => table.pick_by_load(&request.service, now, &state.settings.zone, tried, &check),
+        None => table.pick_by_load(&request.service, now, &state.settings.zone, tried, &filter),
     };
     let wait = || {
         limit_retry_after(state, &request.service)
@@ -174,10 +174,10 @@
         return None;
     }
     let table = state.upstreams.load();
-    let able = table
+    let accepting = table
         .upstreams(service)
         .filter(|u| backoff(state, u).is_none());
-    let limited = able.filter_map(|upstream| {
+    let limited = accepting.filter_map(|upstream| {
         let rate = state.limits.limit(&upstream.id)?;
         Some((upstream.id, rate))
     });
--- a/crates/gateway/src/upstream_table.rs
+++ b/crates/gateway/src/upstream_table.rs
@@ -302,11 +302,11 @@
         now: MonoTime,
         zone: &Name,
         tried: &[CompactString],
-        check: &SelectionFilter<'_>,
+        filter: &SelectionFilter<'_>,
     ) -> Option<SelectedUpstream> {
         let table = self.services.get(service)?;
         let mut exclude = table.keys_of(tried);
-        exclude.extend(table.keys(|id, record| !check.allows(now, id, record)));
+        exclude.extend(table.keys(|id, record| !filter.allows(now, id, record)));
         let req = PickRequest {
             hall: zone,
             affinity: None,
@@ -326,12 +326,12 @@
         session: u64,
         instances: u32,
         tried: &[CompactString],
-        check: &SelectionFilter<'_>,
+        filter: &SelectionFilter<'_>,
     ) -> Option<SelectedUpstream> {
         let table = self.services.get(service)?;
         let views = table.views(now, &table.keys_of(tried));
         let order = place_prompt(session, &views, table.slots, instances);
-        let allowed = |n: &usize| check.allows(now, &table.ids[*n], &table.records[*n]);
+        let allowed = |n: &usize| filter.allows(now, &table.ids[*n], &table.records[*n]);
         let first = order.into_iter().find(allowed)?;
         let key = UpstreamKey::from_index(u32::try_from(first).ok()?);
         Some(table.chosen(key))
