--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -61,7 +61,7 @@
         request: &CallerRequest,
         chosen: SelectedUpstream,
     ) -> ActiveAttempt {
-        chosen.upstream.started();
+        chosen.upstream.attempt_started();
         ActiveAttempt {
             state: Arc::clone(state),
             service: request.service.clone(),
@@ -80,7 +80,7 @@
         if !std::mem::replace(&mut self.completed, true) {
             let now = self.state.now();
             let quarantine = &self.state.quarantine;
-            quarantine.note_ran(now, &self.service, self.content);
+            quarantine.record_completed(now, &self.service, self.content);
         }
     }
 
@@ -125,12 +125,12 @@
         }
         let now = self.state.now();
         let took = now.since(self.began);
-        self.chosen.upstream.finished(now, took, outcome);
+        self.chosen.upstream.attempt_finished(now, took, outcome);
         if outcome == AttemptOutcome::Unreachable {
             // The upstream is tried again when its ejection ends, and may have started just
             // before.
             let retried_at = self.chosen.upstream.ejected_until();
-            lock(&self.chosen.cold).may_have_started(retried_at);
+            lock(&self.chosen.cold).record_possible_start(retried_at);
         }
         self.state.metrics.attempt(outcome.as_str());
     }
--- a/crates/gateway/src/batch_dispatcher.rs
+++ b/crates/gateway/src/batch_dispatcher.rs
@@ -12,18 +12,18 @@
 use compact_str::CompactString;
 use compact_str::format_compact;
 use jd_net::lock;
-use jd_net::within;
+use jd_net::with_timeout;
 use jd_serving::BatchCall;
 use jd_serving::CallResult;
 use jd_serving::Content;
 use jd_serving::JobFailure;
 use jd_serving::JobKey;
 use jd_serving::PieceResult;
-use jd_serving::RoomQuestion;
-use jd_serving::RoomReport;
 use jd_serving::Shard;
-use jd_serving::StageDesk;
 use jd_serving::StageJob;
+use jd_serving::StageScheduler;
+use jd_serving::StorageQuery;
+use jd_serving::StorageReport;
 use jd_types::MonoTime;
 
 use crate::result_free_queue::ResultFreeQueue;
@@ -49,7 +49,7 @@
 
 #[derive(Debug, Default)]
 struct ShardScheduler {
-    scheduler: StageDesk,
+    scheduler: StageScheduler,
     waiters: HashMap<JobKey, Sender<JobOutcome>>,
     table: Option<Arc<UpstreamTable>>,
     /// True while this instance is the first owner of the shard.
@@ -108,7 +108,7 @@
                     ..ShardScheduler::default()
                 });
             self.update_upstreams(&shard, entry);
-            if let Some(left) = self.state.quarantine.left(now, job.content) {
+            if let Some(left) = self.state.quarantine.time_left(now, job.content) {
                 return Err(JobFailure::Quarantined(left));
             }
             let key = entry.scheduler.submit(now, job)?;
@@ -132,9 +132,9 @@
         for handle in handles {
             match schedulers
                 .values_mut()
-                .find(|entry| entry.scheduler.holds(&handle))
+                .find(|entry| entry.scheduler.holds_result(&handle))
             {
-                Some(entry) => entry.scheduler.release(vec![handle]),
+                Some(entry) => entry.scheduler.release_results(vec![handle]),
                 None => unknown.push(handle),
             }
         }
@@ -191,7 +191,7 @@
             let schedulers = lock(&self.schedulers);
             let waiting = schedulers
                 .iter()
-                .filter(|(_, entry)| entry.scheduler.is_waiting());
+                .filter(|(_, entry)| entry.scheduler.has_pending_work());
             waiting.map(|(shard, _)| shard.clone()).collect()
         };
         for shard in waiting {
@@ -211,9 +211,9 @@
         let quarantine = &self.state.quarantine;
         entry
             .scheduler
-            .quarantine(|content| quarantine.left(now, content));
+            .fail_quarantined(|content| quarantine.time_left(now, content));
         entry.scheduler.expire(now);
-        for question in entry.scheduler.room_questions(now) {
+        for question in entry.scheduler.storage_queries(now) {
             let query = Arc::clone(self).query_storage(shard.clone(), question);
             self.state.executor.spawn(query).detach();
         }
@@ -224,32 +224,34 @@
                 .spawn(dispatcher.run_batch(shard.clone(), call))
                 .detach();
         }
-        for end in entry.scheduler.take_ended() {
+        for end in entry.scheduler.take_finished() {
             if let Some(tx) = entry.waiters.remove(&end.key) {
                 // Fails only if the caller stopped waiting.
                 let _ = tx.try_send(end.outcome);
             }
         }
-        self.free_queue.add(entry.scheduler.take_unused());
+        self.free_queue.add(entry.scheduler.take_unused_results());
     }
 
     /// Queries an upstream for its free result storage.
-    async fn query_storage(self: Arc<Self>, shard: Shard, question: RoomQuestion) {
+    async fn query_storage(self: Arc<Self>, shard: Shard, question: StorageQuery) {
         let report = self.storage_report(&question).await;
         log::info!(
             service = question.service.as_str(),
             upstream = question.upstream.as_str(),
-            free:? = report.map(|t| t.free);
+            free:? = report.map(|t| t.free_bytes);
             "storage queried"
         );
         if let Some(entry) = lock(&self.schedulers).get_mut(&shard) {
             let now = self.state.now();
-            entry.scheduler.told_room(now, &question, report);
+            entry
+                .scheduler
+                .record_storage_report(now, &question, report);
         }
         self.schedule(&shard);
     }
 
-    async fn storage_report(&self, question: &RoomQuestion) -> Option<RoomReport> {
+    async fn storage_report(&self, question: &StorageQuery) -> Option<StorageReport> {
         let (state, dialect) = (&self.state, &self.state.dialect);
         let upstream = UpstreamRef {
             service: question.service.clone(),
@@ -270,7 +272,7 @@
         if !response.status.is_success() {
             return None;
         }
-        let body = within(STORAGE_QUERY_TIMEOUT, response.whole(MAX_RESPONSE)).await?;
+        let body = with_timeout(STORAGE_QUERY_TIMEOUT, response.read_all(MAX_RESPONSE)).await?;
         dialect.storage_report(&body.ok()?)
     }
 
@@ -283,15 +285,15 @@
             service = call.service.as_str(),
             upstream = call.upstream.as_str(),
             pieces = call.pieces.len(),
-            waiting = call.waiting,
-            room_used = call.room_used,
-            far_bytes = call.far_bytes,
+            waiting = call.queued,
+            room_used = call.storage_used,
+            far_bytes = call.cross_zone_bytes,
             outcome = outcome_text(&result).as_str(),
             ms = now.since(began).as_millis() as u64;
             "call for pieces"
         );
         if let Some(entry) = lock(&self.schedulers).get_mut(&shard) {
-            entry.scheduler.finish(now, call.key, result);
+            entry.scheduler.complete_call(now, call.key, result);
         }
         self.schedule(&shard);
     }
@@ -304,7 +306,7 @@
         let contents: BTreeSet<Content> = call.pieces.iter().map(|p| p.content).collect();
         for content in contents {
             match result {
-                CallResult::Answered(_) => quarantine.note_ran(now, &call.service, content),
+                CallResult::Answered(_) => quarantine.record_completed(now, &call.service, content),
                 CallResult::Broken => {
                     self.state
                         .report_broken_run(upstream_ref(call), content, began)
@@ -332,7 +334,7 @@
         let req = dialect.stage_request(&call.upstream, &call.pieces);
         let sent = state
             .upstream_client
-            .send(state, permit, req, call.patience, || {});
+            .send(state, permit, req, call.timeout, || {});
         let response = match sent.await {
             Ok(response) => response,
             Err(SendFailure::Withheld(why)) => return withheld_result(why),
@@ -346,7 +348,7 @@
             status if head.not_run || !status.is_success() => return self.refused_result(call),
             _ => {}
         }
-        match within(call.patience, response.whole(MAX_RESPONSE)).await {
+        match with_timeout(call.timeout, response.read_all(MAX_RESPONSE)).await {
             Some(Ok(body)) => match dialect.stage_results(&body, call.pieces.len()) {
                 Some(results) => CallResult::Answered(results),
                 None => CallResult::Failed,
@@ -380,7 +382,7 @@
         for service in router.services() {
             if let Some(spec) = service.batch {
                 let all = table.upstreams(&service.name);
-                let own = shard.of_service(all, |u| &u.zone);
+                let own = shard.select_upstreams(all, |u| &u.zone);
                 let now = self.state.now();
                 entry.scheduler.set_upstreams(now, &service.name, spec, own);
             }
@@ -415,9 +417,9 @@
     for result in results {
         let kind = match result {
             PieceResult::Done(_) => 0,
-            PieceResult::Late => 1,
-            PieceResult::InputGone => 2,
-            PieceResult::NoRoom => 3,
+            PieceResult::Expired => 1,
+            PieceResult::InputMissing => 2,
+            PieceResult::StorageFull => 3,
             PieceResult::Failed => 4,
         };
         counts[kind] += 1;
--- a/crates/gateway/src/caller_api.rs
+++ b/crates/gateway/src/caller_api.rs
@@ -18,12 +18,12 @@
 use jd_net::Handler;
 use jd_net::HandlerFuture;
 use jd_net::read_bounded;
-use jd_net::within;
+use jd_net::with_timeout;
 use jd_serving::CallHead;
 use jd_serving::Caller;
 use jd_serving::Content;
 use jd_serving::Prompt;
-use jd_serving::Repeat;
+use jd_serving::RetryMode;
 use jd_serving::Route;
 use jd_serving::RouteKey;
 use jd_serving::Router;
@@ -93,9 +93,9 @@
 
     async fn run(&self, request: CallerRequest) -> Result<Response<Body>, Refusal> {
         request.check_quarantine(&self.state, 0)?;
-        match request.route().repeat {
-            Repeat::Idempotent | Repeat::Once => unary_call::run(&self.state, request).await,
-            Repeat::Resumable | Repeat::StreamOnce => {
+        match request.route().retry_mode {
+            RetryMode::Idempotent | RetryMode::Once => unary_call::run(&self.state, request).await,
+            RetryMode::Resumable | RetryMode::StreamOnce => {
                 streaming_call::run(&self.state, &self.stages, request).await
             }
         }
@@ -164,7 +164,7 @@
             }
         };
         let timeout = until.since(self.state.now());
-        if within(timeout, read).await.is_none() {
+        if with_timeout(timeout, read).await.is_none() {
             log::info!("no configuration read yet; requests are refused");
         }
     }
@@ -247,12 +247,12 @@
 }
 
 async fn read_body(body: Incoming, limit: usize) -> Result<Bytes, Refusal> {
-    match within(BODY_TIMEOUT, read_bounded(body, limit)).await {
+    match with_timeout(BODY_TIMEOUT, read_bounded(body, limit)).await {
         Some(Ok(body)) => Ok(body),
         Some(Err(e @ BodyReadError::TooLarge { .. })) => {
             Err(Refusal::not_run(RefusalKind::TooLarge, e.to_string()))
         }
-        Some(Err(e @ BodyReadError::CutOff)) => {
+        Some(Err(e @ BodyReadError::Truncated)) => {
             Err(Refusal::not_run(RefusalKind::Malformed, e.to_string()))
         }
         None => {
--- a/crates/gateway/src/caller_request.rs
+++ b/crates/gateway/src/caller_request.rs
@@ -51,7 +51,7 @@
     /// Refuses the request if it is quarantined because it crashes upstreams. `runs` is the
     /// number of times that it may have run so far. Called before each send.
     pub(crate) fn check_quarantine(&self, state: &State, runs: u32) -> Result<(), Refusal> {
-        let Some(left) = state.quarantine.left(state.now(), self.content) else {
+        let Some(left) = state.quarantine.time_left(state.now(), self.content) else {
             return Ok(());
         };
         let detail = "upstreams that ran this request ended, one after the other";
--- a/crates/gateway/src/cluster_state.rs
+++ b/crates/gateway/src/cluster_state.rs
@@ -7,7 +7,7 @@
 use jd_serving::Freshness;
 use jd_serving::InstanceDirectory;
 use jd_serving::Shard;
-use jd_serving::SourceState;
+use jd_serving::SourceHealth;
 use jd_serving::StoreItem;
 use jd_serving::StoreMirror;
 use jd_serving::UpstreamDirectory;
@@ -39,7 +39,7 @@
     pub(crate) newer_peer: Option<(Incarnation, MonoTime)>,
     pub(crate) mirror: StoreMirror,
     /// Instances that sent no updates or had lost the store, and when.
-    source_health_by_peer: HashMap<Incarnation, (MonoTime, SourceState)>,
+    source_health_by_peer: HashMap<Incarnation, (MonoTime, SourceHealth)>,
     /// When the list of instances in the store was first read.
     pub(crate) instances_listed_at: Option<MonoTime>,
     /// Earlier incarnations of this instance whose entries are still in the store.
@@ -50,10 +50,10 @@
 
 impl ClusterState {
     /// The recent health of an instance as an update source.
-    pub(crate) fn source_health(&self, now: MonoTime, id: Incarnation) -> SourceState {
+    pub(crate) fn source_health(&self, now: MonoTime, id: Incarnation) -> SourceHealth {
         match self.source_health_by_peer.get(&id) {
             Some((since, state)) if now.since(*since) < SOURCE_HEALTH_LIFETIME => *state,
-            _ => SourceState::Able,
+            _ => SourceHealth::Available,
         }
     }
 
@@ -62,10 +62,10 @@
         &mut self,
         now: MonoTime,
         id: Incarnation,
-        state: SourceState,
+        state: SourceHealth,
     ) {
         match state {
-            SourceState::Able => self.source_health_by_peer.remove(&id),
+            SourceHealth::Available => self.source_health_by_peer.remove(&id),
             _ => self.source_health_by_peer.insert(id, (now, state)),
         };
     }
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -14,13 +14,13 @@
 use http::request::Parts;
 use jd_net::Body;
 use jd_serving::CallHead;
-use jd_serving::PieceOrder;
+use jd_serving::PieceRequest;
 use jd_serving::PieceResult;
 use jd_serving::RateError;
 use jd_serving::RequestRate;
 use jd_serving::RetryAfter;
 use jd_serving::RetryAfterError;
-use jd_serving::RoomReport;
+use jd_serving::StorageReport;
 use jd_types::Refusal;
 
 /// What is sent to an upstream in addition to the caller's own request.
@@ -101,7 +101,7 @@
     fn refusal(&self, refusal: &Refusal) -> Response<Body>;
 
     /// The request for a batch of stage pieces.
-    fn stage_request(&self, upstream: &str, pieces: &[PieceOrder]) -> Request<Body>;
+    fn stage_request(&self, upstream: &str, pieces: &[PieceRequest]) -> Request<Body>;
 
     /// Reads the response to a batch; none if it is malformed.
     fn stage_results(&self, body: &[u8], count: usize) -> Option<Vec<PieceResult>>;
@@ -113,7 +113,7 @@
     fn storage_request(&self, upstream: &str) -> Request<Body>;
 
     /// Reads the response to a storage query; none if it is malformed.
-    fn storage_report(&self, body: &[u8]) -> Option<RoomReport>;
+    fn storage_report(&self, body: &[u8]) -> Option<StorageReport>;
 
     /// The address of the upstream that stores a result; none if the handle does not name it.
     fn result_address(&self, handle: &str) -> Option<SocketAddr>;
--- a/crates/gateway/src/event_stream.rs
+++ b/crates/gateway/src/event_stream.rs
@@ -9,9 +9,9 @@
 use jd_net::BodyError;
 use jd_net::HttpResponse;
 use jd_net::SendError;
-use jd_net::within;
+use jd_net::with_timeout;
 use jd_serving::EventSplitter;
-use jd_serving::Repeat;
+use jd_serving::RetryMode;
 use jd_types::AttemptOutcome;
 use jd_types::MonoTime;
 use snafu::Snafu;
@@ -97,7 +97,7 @@
                 self.attempt.until_restarted().await;
                 Some(Err(SendError::Broken))
             };
-            let read = within(wait, response.part()).or(restarted).await;
+            let read = with_timeout(wait, response.chunk()).or(restarted).await;
             let outcome = match read {
                 Some(Ok(Some(part))) => match self.splitter.push(&part) {
                     Some(events) => {
@@ -156,7 +156,7 @@
             ms = took.as_millis() as u64;
             "stream ended"
         );
-        let rest = self.splitter.rest();
+        let rest = self.splitter.take_remaining();
         (!rest.is_empty()).then_some((Ok(rest), self))
     }
 
@@ -188,7 +188,7 @@
 
     fn may_resume(&self) -> bool {
         let route = self.request.route();
-        route.repeat == Repeat::Resumable && self.retries.possible_runs < route.max_attempts
+        route.retry_mode == RetryMode::Resumable && self.retries.possible_runs < route.max_attempts
     }
 
     /// Resumes on another upstream after the last complete event. Returns false if that is not
@@ -196,7 +196,7 @@
     async fn resume(&mut self, outcome: AttemptOutcome) -> bool {
         self.response = None;
         self.attempt.finish(outcome);
-        let _partial_event = self.splitter.rest();
+        let _partial_event = self.splitter.take_remaining();
         while self.may_resume() && self.state.may_retry(&self.request.service) {
             match self.stages.run(&self.request).await {
                 Ok(results) => self.results = results,
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -29,21 +29,21 @@
 use crate::crash_reporter::CrashReporter;
 use crate::peer_api::PeerApi;
 use crate::peer_api::PeerHandler;
-use crate::peers::Peers;
+use crate::peer_client::PeerClient;
 use crate::quarantine_coordinator::QuarantineCoordinator;
 use crate::result_free_queue::ResultFreeQueue;
 use crate::result_release_queue::ResultReleaseQueue;
+use crate::revision_poller::RevisionPoller;
 use crate::service_apis::LocateApi;
 use crate::service_apis::MetricsApi;
 use crate::service_apis::ReadyApi;
 use crate::stage_runner::StageRunner;
 use crate::state::State;
+use crate::store_applier::StoreApplier;
 use crate::store_call::StoreCallCounts;
 use crate::store_follower::StoreFollower;
-use crate::store_intake::StoreIntake;
 use crate::store_lease::StoreLease;
 use crate::store_link::StoreLink;
-use crate::store_proof::StoreProof;
 use crate::store_reader::StoreReader;
 
 /// The percentage of the grace period in which new requests are still accepted: until most of
@@ -93,8 +93,8 @@
     ) -> Result<Gateway, StartError> {
         let own_entry = InstanceEntry {
             incarnation: Incarnation::new(fastrand::u64(1..)),
-            callers: settings.callers,
-            peers: settings.peers,
+            caller_address: settings.callers,
+            peer_address: settings.peers,
             zone: settings.zone.clone(),
             strength: Strength::new(settings.core_percent, settings.link_mbps),
             leaving: false,
@@ -112,7 +112,7 @@
         let free_queue = Arc::new(ResultFreeQueue::new(Arc::clone(&state)));
         let dispatcher = BatchDispatcher::new(Arc::clone(&state), Arc::clone(&free_queue));
         let dispatcher = Arc::new(dispatcher);
-        let peers = Arc::new(Peers::new(Arc::clone(&state)));
+        let peers = Arc::new(PeerClient::new(Arc::clone(&state)));
         let release_queue = Arc::new(ResultReleaseQueue {
             state: Arc::clone(&state),
             dispatcher: Arc::clone(&dispatcher),
@@ -141,20 +141,20 @@
         let lease = Arc::new(StoreLease {
             link: Arc::clone(&link),
         });
-        let proof = Arc::new(StoreProof {
+        let poller = Arc::new(RevisionPoller {
             link: Arc::clone(&link),
         });
-        let intake = Arc::new(StoreIntake {
+        let applier = Arc::new(StoreApplier {
             state: Arc::clone(&state),
             store,
         });
         let reader = StoreReader {
             link: Arc::clone(&link),
-            intake: Arc::clone(&intake),
+            applier: Arc::clone(&applier),
         };
         let follower = Arc::new(StoreFollower {
             link,
-            intake,
+            applier,
             reader,
             peers: Arc::clone(&peers),
         });
@@ -188,23 +188,23 @@
             listen(&state, s.peers, own, Arc::new(PeerHandler::new(peer_api)))?,
         ];
         let applying = apply_limits(Arc::clone(&state), Arc::clone(&callers));
-        let reporting = Arc::clone(&lease.link).report();
+        let reporting = Arc::clone(&lease.link).log_call_counts();
         let tasks = vec![
             executor.spawn(applying),
             executor.spawn(Arc::clone(&follower).follow()),
-            executor.spawn(Arc::clone(&follower).catch_up()),
-            executor.spawn(follower.expire()),
-            executor.spawn(proof.keep()),
-            executor.spawn(Arc::clone(&lease).keep()),
+            executor.spawn(Arc::clone(&follower).fetch_newer_deployment()),
+            executor.spawn(follower.expire_entries()),
+            executor.spawn(poller.run()),
+            executor.spawn(Arc::clone(&lease).keep_registered()),
             executor.spawn(Arc::clone(&lease).remove_silent()),
             executor.spawn(reporting),
-            executor.spawn(peers.beat()),
+            executor.spawn(peers.send_heartbeats()),
             executor.spawn(dispatcher.run_ticks()),
             executor.spawn(release_queue.run()),
             executor.spawn(free_queue.run()),
             executor.spawn(coordinator.run()),
             executor.spawn(Arc::clone(&reporter).run()),
-            executor.spawn(reporter.answer()),
+            executor.spawn(reporter.report_recent_runs()),
         ];
         log::info!(
             instance = state.settings.name.as_str(),
@@ -268,7 +268,7 @@
     ServerLimits {
         connections: settings.max_connections,
         head_bytes: limits.head_bytes,
-        head_within: limits.idle.max(limits.head_within),
+        head_timeout: limits.idle_timeout.max(limits.head_timeout),
         http1_only: true,
         ..ServerLimits::default()
     }
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -51,7 +51,7 @@
     }
 
     /// Reads what an answer of an upstream says of its limit.
-    pub(crate) fn note_answer(
+    pub(crate) fn record_answer(
         &self,
         now: MonoTime,
         upstream: &UpstreamRef,
@@ -65,9 +65,9 @@
                 let said = LimitNotice {
                     start: upstream.start,
                     limit,
-                    heard: now,
+                    received_at: now,
                 };
-                self.take(now, &upstream.id, said, LimitSource::Answer, metrics);
+                self.record(now, &upstream.id, said, LimitSource::Answer, metrics);
             }
             Err(e) => {
                 let mut last = lock(&self.unreadable);
@@ -86,24 +86,24 @@
 
     /// The limit that an upstream names.
     pub(crate) fn limit(&self, id: &str) -> Option<RequestRate> {
-        self.of(id)?.limit
+        self.notice(id)?.limit
     }
 
     /// What was last heard of an upstream's limit that counts.
-    pub(crate) fn of(&self, id: &str) -> Option<LimitNotice> {
+    pub(crate) fn notice(&self, id: &str) -> Option<LimitNotice> {
         match self.any() {
-            true => lock(&self.known).of(id),
+            true => lock(&self.known).notice(id),
             false => None,
         }
     }
 
     /// What others are told.
-    pub(crate) fn told(&self, now: MonoTime) -> Vec<(CompactString, LimitNotice)> {
+    pub(crate) fn notices(&self, now: MonoTime) -> Vec<(CompactString, LimitNotice)> {
         if !self.any() {
             return Vec::new();
         }
         let known = lock(&self.known);
-        let told = known.told(now);
+        let told = known.announced(now);
         told.map(|(id, notice)| (id.into(), notice)).collect()
     }
 
@@ -116,14 +116,14 @@
     ) {
         if self.any() {
             let mut known = lock(&self.known);
-            known.forget_gone(now, start_of);
+            known.remove_gone(now, start_of);
             metrics.limited_upstreams(known.count());
             self.any.store(!known.is_empty(), Ordering::Relaxed);
         }
     }
 
     /// Takes in what an upstream said, and tells others of it if that is news.
-    pub(crate) fn take(
+    pub(crate) fn record(
         &self,
         now: MonoTime,
         id: &str,
@@ -132,7 +132,7 @@
         metrics: &Metrics,
     ) {
         let mut known = lock(&self.known);
-        let Some(change) = known.take(id, said) else {
+        let Some(change) = known.record(id, said) else {
             return;
         };
         self.any.store(true, Ordering::Relaxed);
@@ -141,7 +141,7 @@
             upstream = id,
             per_s:? = change.now.map(|r| r.per_s()),
             before:? = change.before.map(|r| r.per_s()),
-            heard_ms = now.since(said.heard).as_millis() as u64,
+            heard_ms = now.since(said.received_at).as_millis() as u64,
             source:? = source;
             "limit of an upstream"
         );
--- a/crates/gateway/src/result_free_queue.rs
+++ b/crates/gateway/src/result_free_queue.rs
@@ -84,7 +84,7 @@
         let upstream = listed.unwrap_or_else(|| UpstreamRef {
             service: CompactString::default(),
             id: CompactString::default(),
-            start: UpstreamStart::UNTOLD,
+            start: UpstreamStart::UNKNOWN,
             address,
         });
         let Ok(permit) = state
@@ -100,7 +100,7 @@
             .send(state, permit, req, RELEASE_TIMEOUT, || {});
         match sending.await {
             // The body is read so that the connection can be reused.
-            Ok(response) => response.whole(1 << 16).await.is_ok(),
+            Ok(response) => response.read_all(1 << 16).await.is_ok(),
             Err(_) => false,
         }
     }
--- a/crates/gateway/src/result_release_queue.rs
+++ b/crates/gateway/src/result_release_queue.rs
@@ -11,7 +11,7 @@
 use jd_net::lock;
 
 use crate::batch_dispatcher::BatchDispatcher;
-use crate::peers::Peers;
+use crate::peer_client::PeerClient;
 use crate::result_free_queue::ResultFreeQueue;
 use crate::state::State;
 
@@ -25,7 +25,7 @@
 pub(crate) struct ResultReleaseQueue {
     pub(crate) state: Arc<State>,
     pub(crate) dispatcher: Arc<BatchDispatcher>,
-    pub(crate) peers: Arc<Peers>,
+    pub(crate) peers: Arc<PeerClient>,
     pub(crate) free_queue: Arc<ResultFreeQueue>,
     pub(crate) pending: Mutex<HashMap<SocketAddr, Vec<CompactString>>>,
 }
@@ -45,7 +45,7 @@
             Timer::after(FLUSH_INTERVAL).await;
             let pending = std::mem::take(&mut *lock(&self.pending));
             for (owner, handles) in pending {
-                if owner == self.state.own_entry.peers {
+                if owner == self.state.own_entry.peer_address {
                     self.dispatcher.release(handles);
                     continue;
                 }
--- a/crates/gateway/src/stage_runner.rs
+++ b/crates/gateway/src/stage_runner.rs
@@ -20,7 +20,7 @@
 
 use crate::batch_dispatcher::BatchDispatcher;
 use crate::caller_request::CallerRequest;
-use crate::peers::Peers;
+use crate::peer_client::PeerClient;
 use crate::result_release_queue::ResultReleaseQueue;
 use crate::signal::Signal;
 use crate::state::State;
@@ -53,7 +53,7 @@
 pub(crate) struct StageRunner {
     pub(crate) state: Arc<State>,
     pub(crate) dispatcher: Arc<BatchDispatcher>,
-    pub(crate) peers: Arc<Peers>,
+    pub(crate) peers: Arc<PeerClient>,
     pub(crate) release_queue: Arc<ResultReleaseQueue>,
 }
 
@@ -105,7 +105,7 @@
     pub(crate) async fn run(&self, request: &CallerRequest) -> Result<StageResults, Refusal> {
         request.check_quarantine(&self.state, 0)?;
         let (owner, handles) = match self.job(request) {
-            None => (self.state.own_entry.peers, Vec::new()),
+            None => (self.state.own_entry.peer_address, Vec::new()),
             Some(job) => self.run_job(request, &job).await?,
         };
         Ok(StageResults {
@@ -148,7 +148,7 @@
         &self,
         job: &StageJob,
     ) -> Result<(SocketAddr, Vec<CompactString>), JobFailure> {
-        let me = self.state.own_entry.peers;
+        let me = self.state.own_entry.peer_address;
         let shard = self.shard(job).ok_or(JobFailure::NoUpstream)?;
         self.state.mark_shard_used(&shard);
         for owner in self.state.owner_order(&shard) {
@@ -192,7 +192,7 @@
 
     fn is_live(&self, owner: SocketAddr) -> bool {
         let now = self.state.now();
-        self.state.cluster().instances.is_there(now, owner)
+        self.state.cluster().instances.is_present_at(now, owner)
     }
 
     /// The shard that a job runs on; none if no shard serves all of its stages.
@@ -201,7 +201,7 @@
         let place = bytes.fold(0_u64, |h, b| h.wrapping_mul(31).wrapping_add(u64::from(b)));
         let used = job.stages.iter().filter(|s| s.pieces > 0);
         let services: Vec<&str> = used.map(|s| s.service.as_str()).collect();
-        let bytes = job.handed_on();
+        let bytes = job.output_bytes();
         let shards = self.state.shards.load();
         let backlog = |shard: &Shard| self.state.backlog(shard);
         shards.choose(place, &services, job.zone.as_ref(), bytes, backlog)
@@ -260,7 +260,7 @@
             &[],
             &filter,
         )?;
-        Some(chosen.upstream.hall.clone())
+        Some(chosen.upstream.zone.clone())
     }
 }
 
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -20,19 +20,19 @@
 use jd_net::lock;
 use jd_serving::ColdSpec;
 use jd_serving::Content;
-use jd_serving::FleetPlace;
+use jd_serving::FleetPosition;
 use jd_serving::InstanceEntry;
-use jd_serving::NewsSource;
-use jd_serving::RepeatBound;
-use jd_serving::RepeatBudget;
+use jd_serving::RecentShards;
+use jd_serving::RetryBudget;
+use jd_serving::RetryLimit;
 use jd_serving::Router;
 use jd_serving::Shard;
 use jd_serving::ShardMap;
-use jd_serving::SourceState;
+use jd_serving::SourceHealth;
 use jd_serving::StoreRevision;
-use jd_serving::UsedShards;
-use jd_serving::news_source;
-use jd_serving::owners;
+use jd_serving::UpdateSource;
+use jd_serving::rank_owners;
+use jd_serving::update_source;
 use jd_settings::GatewaySettings;
 use jd_types::MonoTime;
 use jd_types::spread;
@@ -45,7 +45,7 @@
 use crate::limits::Limits;
 use crate::metrics::Metrics;
 use crate::peer_channels::PeerChannels;
-use crate::peer_news::PackedPieces;
+use crate::peer_replication::PackedSnapshots;
 use crate::permit_retries::PermitRetries;
 use crate::quarantine::Quarantine;
 use crate::run_events::RunEvent;
@@ -75,7 +75,7 @@
     pub(crate) router: ArcSwapOption<Router>,
     pub(crate) upstreams: ArcSwap<UpstreamTable>,
     pub(crate) shards: ArcSwap<ShardMap>,
-    used_shards: Mutex<UsedShards>,
+    used_shards: Mutex<RecentShards>,
     pub(crate) metrics: Metrics,
     /// The suspected and quarantined requests.
     pub(crate) quarantine: Quarantine,
@@ -100,11 +100,11 @@
     /// Wakes the tasks that wait for updates, for the instances that follow this one.
     pub(crate) changes: Event,
     /// The packed snapshot for instances that start.
-    pub(crate) packed: Mutex<PackedPieces>,
+    pub(crate) packed: Mutex<PackedSnapshots>,
     /// Set once the list of instances in the store is known.
     pub(crate) instances_listed: Latch,
     cluster: Mutex<ClusterState>,
-    budgets: Mutex<HashMap<CompactString, RepeatBudget>>,
+    budgets: Mutex<HashMap<CompactString, RetryBudget>>,
     leaving: AtomicBool,
     in_flight: AtomicUsize,
 }
@@ -181,7 +181,7 @@
         let now = self.now();
         let cluster = self.cluster();
         let own = cluster.source_health(now, self.own_entry.incarnation);
-        own == SourceState::StoreAway || cluster.upstreams.is_store_away()
+        own == SourceHealth::StoreUnavailable || cluster.upstreams.is_store_unavailable()
     }
 
     /// True while the proof of freshness is recent enough to serve requests.
@@ -223,23 +223,23 @@
     pub(crate) fn owner_order(&self, shard: &Shard) -> Vec<SocketAddr> {
         let now = self.now();
         let cluster = self.cluster();
-        let others = cluster.instances.able(now);
+        let others = cluster.instances.live_loaded(now);
         let own = (!self.is_leaving()).then_some(&self.own_entry);
-        let order = owners(shard, others.chain(own), MAX_OWNERS);
-        order.into_iter().map(|e| e.peers).collect()
+        let order = rank_owners(shard, others.chain(own), MAX_OWNERS);
+        order.into_iter().map(|e| e.peer_address).collect()
     }
 
     /// Records that this instance requests or runs stages of a shard, so that the owners of
     /// the shard are watched from now on.
     pub(crate) fn mark_shard_used(&self, shard: &Shard) {
-        if lock(&self.used_shards).note(self.now(), shard) {
+        if lock(&self.used_shards).record_use(self.now(), shard) {
             self.heartbeat_requested.notify();
         }
     }
 
     /// The shards whose owners are watched.
     pub(crate) fn watched_shards(&self) -> Vec<Shard> {
-        lock(&self.used_shards).watched(self.now(), &self.shards.load())
+        lock(&self.used_shards).monitored(self.now(), &self.shards.load())
     }
 
     /// The instances that coordinate the quarantine; the first one decides. The same instances
@@ -254,21 +254,21 @@
 
     /// True if this instance is the first owner of a known shard.
     pub(crate) fn owns(&self, shard: &Shard) -> bool {
-        let known = self.shards.load().has(shard);
-        known && self.owner_order(shard).first() == Some(&self.own_entry.peers)
+        let known = self.shards.load().contains(shard);
+        known && self.owner_order(shard).first() == Some(&self.own_entry.peer_address)
     }
 
     /// The source from which this instance receives store updates.
-    pub(crate) fn news_source(&self) -> NewsSource {
+    pub(crate) fn news_source(&self) -> UpdateSource {
         let now = self.now();
         let cluster = self.cluster();
         let state = |id| cluster.source_health(now, id);
-        news_source(&self.own_entry, cluster.instances.live(now), state)
+        update_source(&self.own_entry, cluster.instances.live(now), state)
     }
 
     /// True once the whole store has been read.
     pub(crate) fn store_loaded(&self) -> bool {
-        self.cluster().mirror.revision() > StoreRevision::NOTHING
+        self.cluster().mirror.revision() > StoreRevision::ZERO
     }
 
     /// Counts a request as in flight until the guard is dropped.
@@ -288,14 +288,17 @@
     /// Computed from the addresses, which survive restarts, and over all listed instances, so
     /// that an instance which has just learned of the others does not count itself as the only
     /// one.
-    pub(crate) fn fleet_place(&self, upstream: SocketAddr) -> FleetPlace {
+    pub(crate) fn fleet_place(&self, upstream: SocketAddr) -> FleetPosition {
         let hash = |peers: SocketAddr| spread(spread_address(peers) ^ spread_address(upstream));
-        let own = hash(self.own_entry.peers);
+        let own = hash(self.own_entry.peer_address);
         let cluster = self.cluster();
-        let mut place = FleetPlace { rank: 0, of: 1 };
+        let mut place = FleetPosition {
+            rank: 0,
+            fleet_size: 1,
+        };
         for other in cluster.instances.entries() {
-            place.of += 1;
-            place.rank += u32::from(hash(other.peers) < own);
+            place.fleet_size += 1;
+            place.rank += u32::from(hash(other.peer_address) < own);
         }
         place
     }
@@ -333,7 +336,7 @@
         budgets
             .entry(service.into())
             .or_default()
-            .first(now, &bound);
+            .record_first_attempt(now, &bound);
     }
 
     /// Takes a retry from the budget of a service; false if the budget is used up.
@@ -343,7 +346,7 @@
         let now = self.now();
         let mut budgets = lock(&self.budgets);
         let budget = budgets.entry(service.into()).or_default();
-        let allowed = budget.repeat(now, &bound, instances);
+        let allowed = budget.try_retry(now, &bound, instances);
         self.metrics.repeat(allowed);
         allowed
     }
@@ -409,8 +412,8 @@
         self.shards.store(Arc::new(ShardMap::new(upstreams)));
     }
 
-    fn repeat_bound(&self) -> RepeatBound {
-        RepeatBound {
+    fn repeat_bound(&self) -> RetryLimit {
+        RetryLimit {
             ratio: self.settings.repeat_ratio,
             slack: self.settings.repeat_slack,
             window: self.settings.repeat_window,
--- a/crates/gateway/src/store_intake.rs
+++ b/crates/gateway/src/store_applier.rs
@@ -7,12 +7,12 @@
 use jd_serving::Content;
 use jd_serving::Deployment;
 use jd_serving::InstanceEntry;
-use jd_serving::News;
-use jd_serving::NewsSource;
-use jd_serving::Reading;
 use jd_serving::Router;
+use jd_serving::SnapshotKind;
 use jd_serving::StoreItem;
 use jd_serving::StoreRevision;
+use jd_serving::StoreUpdate;
+use jd_serving::UpdateSource;
 use jd_serving::UpstreamEntry;
 use jd_types::Incarnation;
 use jd_types::Name;
@@ -22,8 +22,8 @@
 use crate::Record;
 use crate::Store;
 use crate::cluster_state::ActiveDeployment;
-use crate::quarantine::Source;
-use crate::quarantine::Told;
+use crate::quarantine::QuarantineSource;
+use crate::quarantine::QuarantineUpdate;
 use crate::state::State;
 
 /// Changes of upstreams in one batch that an instance logs one by one though it hears of
@@ -69,17 +69,17 @@
 
 /// Takes in what the store holds, whoever brings the news.
 #[derive(Debug)]
-pub(crate) struct StoreIntake {
+pub(crate) struct StoreApplier {
     pub(crate) state: Arc<State>,
     pub(crate) store: Arc<dyn Store>,
 }
 
-impl StoreIntake {
+impl StoreApplier {
     /// Takes news in; false if they are older than what is known, or of an era whose
     /// beginning is not known here.
-    pub(crate) fn take(&self, news: News) -> bool {
-        let News {
-            whole,
+    pub(crate) fn apply(&self, news: StoreUpdate) -> bool {
+        let StoreUpdate {
+            is_full: whole,
             items,
             revision,
         } = news;
@@ -90,13 +90,13 @@
                 return false;
             }
             false if !revision.is_same_era(known) => return false,
-            true => self.replace(items, revision, known),
-            false => self.apply(items, revision),
+            true => self.apply_snapshot(items, revision, known),
+            false => self.apply_changes(items, revision),
         }
         let now = self.state.now();
         {
             let mut cluster = self.state.cluster();
-            cluster.freshness.applied(revision);
+            cluster.freshness.record_applied(revision);
             cluster.instances_listed_at.get_or_insert(now);
         }
         self.state.instances_listed.set();
@@ -105,7 +105,7 @@
     }
 
     /// Takes in which instances the store lists, before anything else is known.
-    pub(crate) fn take_instances(&self, items: &[StoreItem]) {
+    pub(crate) fn apply_instances(&self, items: &[StoreItem]) {
         for (change, item) in self.decode(items) {
             if let Change::Put(record) = change {
                 self.take_record(record, &item);
@@ -117,18 +117,20 @@
     }
 
     /// The other instances that items name.
-    pub(crate) fn sampled(&self, items: &[StoreItem]) -> Vec<InstanceEntry> {
+    pub(crate) fn decode_sample(&self, items: &[StoreItem]) -> Vec<InstanceEntry> {
         let me = &self.state.own_entry;
         let entries = self.decode(items).into_iter();
         let entries = entries.filter_map(|(change, _)| match change {
-            Change::Put(Record::Instance(entry)) if entry.peers != me.peers => Some(entry),
+            Change::Put(Record::Instance(entry)) if entry.peer_address != me.peer_address => {
+                Some(entry)
+            }
             _ => None,
         });
         entries.collect()
     }
 
     /// Takes the configuration alone out of another instance's records.
-    pub(crate) fn take_deployment(&self, items: &[StoreItem]) {
+    pub(crate) fn apply_deployment(&self, items: &[StoreItem]) {
         for (change, item) in self.decode(items) {
             if let Change::Put(record @ Record::Deployment(_)) = change {
                 self.take_record(record, &item);
@@ -136,11 +138,11 @@
         }
     }
 
-    fn replace(&self, items: Vec<StoreItem>, revision: StoreRevision, known: StoreRevision) {
-        let is_first = known == StoreRevision::NOTHING;
+    fn apply_snapshot(&self, items: Vec<StoreItem>, revision: StoreRevision, known: StoreRevision) {
+        let is_first = known == StoreRevision::ZERO;
         let reading = match is_first || revision.is_same_era(known) {
-            true => Reading::Complete,
-            false => Reading::Restored,
+            true => SnapshotKind::Complete,
+            false => SnapshotKind::Restored,
         };
         let items = self.keep_deployment(items, revision, true);
         let changes: Vec<(Change, StoreItem)> = self.decode(&items);
@@ -167,20 +169,20 @@
                     }
                     self.take_record(record, &item);
                 }
-                Change::UpstreamGone(_)
-                | Change::InstanceGone(_)
-                | Change::QuarantineGone(_)
-                | Change::ZoneTakenBack(_) => {}
+                Change::UpstreamRemoved(_)
+                | Change::InstanceRemoved(_)
+                | Change::QuarantineRemoved(_)
+                | Change::EvacuationEnded(_) => {}
             }
         }
-        self.state.quarantine.relist(&quarantined);
+        self.state.quarantine.retain_stored(&quarantined);
         let now = self.state.now();
-        if reading == Reading::Restored {
+        if reading == SnapshotKind::Restored {
             log::warn!(revision:%, known:%; "store was restored from a copy; what it lost is written again");
         }
         {
             let mut cluster = self.state.cluster();
-            cluster.instances.relist(now, &instances, reading);
+            cluster.instances.replace_listed(now, &instances, reading);
             changed |= cluster.upstreams.replace(now, upstreams, reading);
             changed |= cluster.evacuated_zones.replace(now, evacuated, reading);
         }
@@ -188,13 +190,13 @@
             self.state.rebuild_upstreams();
         }
         let is_listed = || instances.contains(&self.state.own_entry.incarnation);
-        if !is_first && (reading == Reading::Restored || !is_listed()) {
+        if !is_first && (reading == SnapshotKind::Restored || !is_listed()) {
             self.state.own_entry_removed.notify();
         }
         log::info!(revision:%; "store read whole");
     }
 
-    fn apply(&self, items: Vec<StoreItem>, revision: StoreRevision) {
+    fn apply_changes(&self, items: Vec<StoreItem>, revision: StoreRevision) {
         let items = self.keep_deployment(items, revision, false);
         let items = self.state.cluster().mirror.apply(items, revision);
         let now = self.state.now();
@@ -210,23 +212,29 @@
                     log::info!(zone:% = zone, revision:%; "zone evacuated: nothing new goes to its upstreams");
                     changed |= self.state.cluster().evacuated_zones.evacuate(zone);
                 }
-                Change::ZoneTakenBack(zone) => {
+                Change::EvacuationEnded(zone) => {
                     log::info!(zone:% = zone, revision:%; "zone taken back");
-                    changed |= self.state.cluster().evacuated_zones.take_back(now, &zone);
+                    changed |= self
+                        .state
+                        .cluster()
+                        .evacuated_zones
+                        .end_evacuation(now, &zone);
                 }
                 Change::Put(record) => self.take_record(record, &item),
-                Change::UpstreamGone(id) => {
+                Change::UpstreamRemoved(id) => {
                     lines.removed(&id, revision);
                     changed |= self.state.cluster().upstreams.remove(now, &id);
                 }
                 Change::UpstreamUnreadable { id, reason } => {
                     changed |= self.leave_out(&id, &reason, item.revision);
                 }
-                Change::InstanceGone(id) if id == self.state.own_entry.incarnation => {
+                Change::InstanceRemoved(id) if id == self.state.own_entry.incarnation => {
                     self.state.own_entry_removed.notify();
                 }
-                Change::InstanceGone(id) => self.state.cluster().instances.unlist(id),
-                Change::QuarantineGone(content) => self.state.quarantine.note_stored(content, None),
+                Change::InstanceRemoved(id) => self.state.cluster().instances.unlist(id),
+                Change::QuarantineRemoved(content) => {
+                    self.state.quarantine.set_stored(content, None)
+                }
             }
         }
         lines.end(revision);
@@ -238,7 +246,7 @@
     /// What is logged of a batch of changes: each upstream where this instance reads the
     /// store, or where they are few.
     fn upstream_lines(&self, changes: usize) -> UpstreamLines {
-        let each = changes <= LINES_A_BATCH || self.state.news_source() == NewsSource::Store;
+        let each = changes <= LINES_A_BATCH || self.state.news_source() == UpdateSource::Store;
         UpstreamLines {
             each,
             written: 0,
@@ -255,7 +263,7 @@
             written:%;
             "entry names no upstream; its own writer has to write it again"
         );
-        self.state.cluster().upstreams.leave_out(id)
+        self.state.cluster().upstreams.discard(id)
     }
 
     /// The items with the configuration in force here in the place of an older one, and of
@@ -307,21 +315,21 @@
         } = record;
         // One whose time is over has none left.
         let left = until.duration_since(SystemTime::now()).unwrap_or_default();
-        let told = Told {
+        let told = QuarantineUpdate {
             content,
             state,
             left,
         };
         let quarantine = &self.state.quarantine;
-        quarantine.take(self.state.now(), Source::Store, [told]);
-        quarantine.note_stored(content, Some(state));
+        quarantine.apply(self.state.now(), QuarantineSource::Store, [told]);
+        quarantine.set_stored(content, Some(state));
     }
 
     fn take_record(&self, record: Record, item: &StoreItem) {
         match record {
             Record::Deployment(deployment) => self.take_newer_deployment(*deployment, item),
             Record::Instance(entry) if entry.incarnation == self.state.own_entry.incarnation => {}
-            Record::Instance(entry) if entry.peers == self.state.own_entry.peers => {
+            Record::Instance(entry) if entry.peer_address == self.state.own_entry.peer_address => {
                 let mut cluster = self.state.cluster();
                 cluster.previous_incarnations.push(entry.incarnation);
             }
--- a/crates/gateway/src/store_link.rs
+++ b/crates/gateway/src/store_link.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use async_io::Timer;
-use jd_net::within;
-use jd_serving::NewsSource;
-use jd_serving::SourceState;
+use jd_net::with_timeout;
+use jd_serving::SourceHealth;
+use jd_serving::UpdateSource;
 
 use crate::Store;
 use crate::StoreError;
@@ -16,7 +16,7 @@
 
 /// How long a call may take. Six times what the slowest store of the users'
 /// pages took; a connection that is silent for longer is given up.
-pub(crate) const CALL_WITHIN: Duration = Duration::from_millis(1_500);
+pub(crate) const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// The same for two calls of three while the store is away: more than its slowest
 /// answers on the users' pages.
@@ -28,9 +28,9 @@
 /// How long a call may take after so many that failed. A connection that was
 /// begun while the store was away may hang for its whole time after the return; a
 /// new one is tried sooner.
-pub(crate) fn patience(failures: u32) -> Duration {
+pub(crate) fn call_timeout(failures: u32) -> Duration {
     match failures % 3 {
-        0 => CALL_WITHIN,
+        0 => CALL_TIMEOUT,
         _ => AWAY_CALL_WITHIN,
     }
 }
@@ -52,8 +52,8 @@
         call: impl Future<Output = Result<T, StoreError>>,
     ) -> Result<T, StoreError> {
         self.counts.add(kind);
-        let result = within(patience, call).await;
-        let result = result.unwrap_or(Err(StoreError::Lost));
+        let result = with_timeout(patience, call).await;
+        let result = result.unwrap_or(Err(StoreError::NoAnswer));
         let outcome = match &result {
             Ok(_) => "done",
             Err(e) => e.as_str(),
@@ -63,7 +63,7 @@
     }
 
     /// Logs for good how many calls there were.
-    pub(crate) async fn report(self: Arc<Self>) {
+    pub(crate) async fn log_call_counts(self: Arc<Self>) {
         loop {
             Timer::after(REPORT_EVERY).await;
             if let Some(counts) = self.counts.take() {
@@ -74,19 +74,19 @@
     }
 
     /// The store answered this instance.
-    pub(crate) fn succeeded(&self) {
+    pub(crate) fn call_succeeded(&self) {
         let now = self.state.now();
         let me = self.state.own_entry.incarnation;
         let mut cluster = self.state.cluster();
-        cluster.record_source_health(now, me, SourceState::Able);
+        cluster.record_source_health(now, me, SourceHealth::Available);
         drop(cluster);
-        self.back();
+        self.mark_available();
     }
 
     /// The store answers, this instance or the one that it follows.
-    pub(crate) fn back(&self) {
+    pub(crate) fn mark_available(&self) {
         let now = self.state.now();
-        let back = self.state.cluster().upstreams.store_back(now);
+        let back = self.state.cluster().upstreams.mark_store_available(now);
         if back {
             self.state.store_recovered.notify();
             self.state.changes.notify(usize::MAX);
@@ -95,26 +95,26 @@
     }
 
     /// The store did not answer this instance.
-    pub(crate) fn failed(&self, kind: StoreCall, e: StoreError) {
+    pub(crate) fn call_failed(&self, kind: StoreCall, e: StoreError) {
         log::warn!(call = kind.as_str(), error:% = e; "store call failed");
         let now = self.state.now();
         let me = self.state.own_entry.incarnation;
         let mut cluster = self.state.cluster();
-        cluster.record_source_health(now, me, SourceState::StoreAway);
+        cluster.record_source_health(now, me, SourceHealth::StoreUnavailable);
         drop(cluster);
         // The store may turn just this instance away while another hears it.
-        if self.state.news_source() == NewsSource::Store {
-            self.away();
+        if self.state.news_source() == UpdateSource::Store {
+            self.mark_unavailable();
         }
     }
 
     /// Nobody from whom this instance could hear has the store.
-    pub(crate) fn away(&self) {
+    pub(crate) fn mark_unavailable(&self) {
         let mut cluster = self.state.cluster();
-        if cluster.upstreams.is_store_away() {
+        if cluster.upstreams.is_store_unavailable() {
             return;
         }
-        cluster.upstreams.store_away();
+        cluster.upstreams.mark_store_unavailable();
         drop(cluster);
         log::warn!("store away; what is known stays in use");
         self.state.proof_requested.notify();
--- a/crates/gateway/src/streaming_call.rs
+++ b/crates/gateway/src/streaming_call.rs
@@ -7,8 +7,8 @@
 use futures_lite::stream::unfold;
 use http::Response;
 use jd_net::Body;
-use jd_net::within;
-use jd_serving::Repeat;
+use jd_net::with_timeout;
+use jd_serving::RetryMode;
 use jd_types::AttemptOutcome;
 use jd_types::Refusal;
 use jd_types::RefusalKind;
@@ -89,9 +89,9 @@
             results = rerun.map_err(|refusal| after_runs(runs, refusal))?;
             continue;
         }
-        let retryable = match request.route().repeat {
+        let retryable = match request.route().retry_mode {
             _ if proved_not_run => retries.tried.len() < MAX_ATTEMPTS,
-            Repeat::Resumable => runs < request.route().max_attempts,
+            RetryMode::Resumable => runs < request.route().max_attempts,
             _ => false,
         };
         if !retryable || !state.may_retry(&request.service) {
@@ -147,7 +147,7 @@
 ) -> Result<Body, Refusal> {
     let mut attempt = response.attempt;
     let left = request.time_left(state.now());
-    let read = within(left, response.http.whole(MAX_ERROR_BODY)).await;
+    let read = with_timeout(left, response.http.read_all(MAX_ERROR_BODY)).await;
     if let Some(Ok(_)) = &read {
         attempt.mark_completed();
     }
@@ -171,8 +171,8 @@
 
 fn attempt_timeout(request: &CallerRequest, state: &State, runs: u32) -> Duration {
     let left = request.time_left(state.now());
-    let retryable =
-        request.route().repeat == Repeat::Resumable && runs + 1 < request.route().max_attempts;
+    let retryable = request.route().retry_mode == RetryMode::Resumable
+        && runs + 1 < request.route().max_attempts;
     match retryable {
         true => left.min(RESPONSE_START_TIMEOUT),
         false => left,
--- a/crates/gateway/src/unary_call.rs
+++ b/crates/gateway/src/unary_call.rs
@@ -11,8 +11,8 @@
 use http::StatusCode;
 use jd_net::Body;
 use jd_net::SendError;
-use jd_net::within;
-use jd_serving::Repeat;
+use jd_net::with_timeout;
+use jd_serving::RetryMode;
 use jd_types::AttemptOutcome;
 use jd_types::Refusal;
 use jd_types::RefusalKind;
@@ -82,9 +82,9 @@
             .is_some_and(|f| f.outcome.run_state() == RunState::NotRun);
         retries.possible_runs += u32::from(!proved_not_run);
         let runs = retries.possible_runs;
-        let retryable = match request.route().repeat {
+        let retryable = match request.route().retry_mode {
             _ if proved_not_run => retries.tried.len() < MAX_ATTEMPTS,
-            Repeat::Idempotent => runs < request.route().max_attempts,
+            RetryMode::Idempotent => runs < request.route().max_attempts,
             _ => false,
         };
         if retryable && state.may_retry(&request.service) {
@@ -136,7 +136,9 @@
         attempt.until_restarted().await;
         Some(Err(SendError::Broken))
     };
-    let read = within(left, http.whole(MAX_RESPONSE)).or(restarted).await;
+    let read = with_timeout(left, http.read_all(MAX_RESPONSE))
+        .or(restarted)
+        .await;
     let (outcome, detail) = match read {
         Some(Ok(body)) => {
             attempt.mark_completed();
@@ -191,8 +193,8 @@
 /// after that, and all of it otherwise.
 fn attempt_timeout(request: &CallerRequest, now: jd_types::MonoTime, runs: u32) -> Duration {
     let left = request.time_left(now);
-    let retryable =
-        request.route().repeat == Repeat::Idempotent && runs + 1 < request.route().max_attempts;
+    let retryable = request.route().retry_mode == RetryMode::Idempotent
+        && runs + 1 < request.route().max_attempts;
     match retryable {
         true => left / 2,
         false => left,
--- a/crates/gateway/src/upstream_backoffs.rs
+++ b/crates/gateway/src/upstream_backoffs.rs
@@ -11,7 +11,7 @@
 use jd_net::HttpResponse;
 use jd_net::lock;
 use jd_serving::Backoffs;
-use jd_serving::FleetPlace;
+use jd_serving::FleetPosition;
 use jd_serving::RetryAfter;
 use jd_serving::RetryAfterError;
 use jd_serving::UpstreamStart;
@@ -40,7 +40,7 @@
         start: UpstreamStart,
     ) -> Option<Duration> {
         match self.any.load(Ordering::Relaxed) {
-            true => lock(&self.backoffs).left(now, address, id, start),
+            true => lock(&self.backoffs).remaining(now, address, id, start),
             false => None,
         }
     }
@@ -68,13 +68,13 @@
         now: MonoTime,
         upstream: &UpstreamRef,
         wait: RetryAfter,
-        place: FleetPlace,
+        place: FleetPosition,
     ) -> bool {
         let UpstreamRef {
             id, start, address, ..
         } = upstream;
         let mut backoffs = lock(&self.backoffs);
-        let longer = backoffs.take(now, *address, id, *start, wait, place);
+        let longer = backoffs.record(now, *address, id, *start, wait, place);
         self.any.store(true, Ordering::Relaxed);
         longer
     }
@@ -96,7 +96,7 @@
     }
     state
         .limits
-        .note_answer(now, upstream, dialect, headers, &state.metrics);
+        .record_answer(now, upstream, dialect, headers, &state.metrics);
     if dialect.announces_leaving(headers) && !upstream.id.is_empty() {
         apply_leaving(state, upstream);
     }
@@ -110,7 +110,7 @@
 fn apply_leaving(state: &State, upstream: &UpstreamRef) {
     let (now, id) = (state.now(), upstream.id.as_str());
     let mut cluster = state.cluster();
-    let changed = cluster.upstreams.says_leaving(now, id, upstream.start);
+    let changed = cluster.upstreams.mark_leaving(now, id, upstream.start);
     drop(cluster);
     if !changed {
         return;
@@ -126,7 +126,9 @@
     } = upstream;
     let now = state.now();
     let mut cluster = state.cluster();
-    let changed = cluster.upstreams.is_elsewhere(now, id, *start, *address);
+    let changed = cluster
+        .upstreams
+        .mark_address_reused(now, id, *start, *address);
     drop(cluster);
     if changed {
         state.rebuild_upstreams();
--- a/crates/gateway/src/upstream_client.rs
+++ b/crates/gateway/src/upstream_client.rs
@@ -11,7 +11,7 @@
 use jd_net::Body;
 use jd_net::HttpPool;
 use jd_net::HttpResponse;
-use jd_net::Probe;
+use jd_net::ProbeResult;
 use jd_net::SendError;
 use jd_net::lock;
 use jd_serving::ColdStart;
@@ -113,7 +113,7 @@
         to: UpstreamRef,
         purpose: SendPurpose,
     ) -> Result<SendPermit, Withheld> {
-        let notice = state.limits.of(&to.id);
+        let notice = state.limits.notice(&to.id);
         let notice = notice.filter(|n| n.limit.is_some());
         let permit = SendPermit {
             granted_at: notice.map(|_| state.now()),
@@ -125,7 +125,7 @@
         let (Some(notice), Some(priority)) = (notice, permit.purpose.priority()) else {
             return Ok(permit);
         };
-        let asked = state.limiters.ask(state, &permit.to, notice, priority);
+        let asked = state.limiters.acquire(state, &permit.to, notice, priority);
         if let Err(wait) = asked.await {
             state
                 .permit_retries
@@ -186,11 +186,11 @@
 
     /// Closes idle connections to `address`.
     pub(crate) fn close_idle(&self, address: SocketAddr) {
-        self.pool.forget(address);
+        self.pool.close_idle(address);
     }
 
     /// Tests whether a connection to `address` can be opened. Sends no request.
-    pub(crate) async fn probe(&self, address: SocketAddr) -> Probe {
+    pub(crate) async fn probe(&self, address: SocketAddr) -> ProbeResult {
         self.pool.probe(address).await
     }
 }
@@ -257,7 +257,7 @@
                 withheld("the upstream gets nothing new any more")
             }
             SendPurpose::Request { content, .. }
-                if state.quarantine.left(now, *content).is_some() =>
+                if state.quarantine.time_left(now, *content).is_some() =>
             {
                 withheld("the request ends upstreams")
             }
@@ -277,7 +277,7 @@
         if let SendPurpose::Request { cold, .. } = &self.purpose
             && let Some(spec) = state.cold_spec(&self.to.service)
         {
-            lock(cold).sent(state.now(), spec);
+            lock(cold).record_sent(state.now(), spec);
         }
         Ok(())
     }
@@ -294,6 +294,6 @@
         }
         // Computed while `cold` is not locked; see `SelectionFilter::cold_allows`.
         let place = state.fleet_place(self.to.address);
-        lock(cold).bears(now, spec, place)
+        lock(cold).may_send(now, spec, place)
     }
 }
--- a/crates/gateway/src/upstream_table.rs
+++ b/crates/gateway/src/upstream_table.rs
@@ -111,7 +111,7 @@
         // Computed while `cold` is not locked. The rebuild of the table locks the cluster state
         // first and then the cold state of each upstream; the opposite order could deadlock.
         let place = self.state.fleet_place(record.upstream.address);
-        lock(&record.cold).bears(now, spec, place)
+        lock(&record.cold).may_send(now, spec, place)
     }
 }
 
@@ -140,7 +140,7 @@
     fn new(entry: &UpstreamEntry, since: MonoTime) -> UpstreamRecord {
         let mut cold = ColdStart::default();
         if since != MonoTime::ZERO {
-            cold.may_have_started(since);
+            cold.record_possible_start(since);
         }
         UpstreamRecord {
             start: entry.start,
@@ -192,9 +192,9 @@
             let mut record = kept.unwrap_or_else(|| UpstreamRecord::new(entry, since));
             {
                 let mut cold = lock(&record.cold);
-                cold.told(listed.cold_until);
-                if let Some(at) = evacuated.taken_back_at(&entry.zone) {
-                    cold.may_have_started(at);
+                cold.set_cold_until(listed.cold_until);
+                if let Some(at) = evacuated.evacuation_ended_at(&entry.zone) {
+                    cold.record_possible_start(at);
                 }
             }
             record.evacuated = evacuated.is_evacuated(&entry.zone);
@@ -214,7 +214,7 @@
             let table = ServiceTable {
                 ids: entries.iter().map(|e| e.id.clone()).collect(),
                 slots,
-                pool: PoolTable::without_prefixes(upstreams, slots, zone),
+                pool: PoolTable::without_affinity(upstreams, slots, zone),
                 records,
             };
             services.insert(service, table);
@@ -240,7 +240,7 @@
     /// The zones of a service's upstreams, one item for each upstream.
     pub(crate) fn zones(&self, service: &str) -> impl Iterator<Item = &Name> {
         let table = self.services.get(service).into_iter();
-        table.flat_map(|t| t.pool.upstreams().iter().map(|u| &u.hall))
+        table.flat_map(|t| t.pool.upstreams().iter().map(|u| &u.zone))
     }
 
     /// The upstreams of a service.
@@ -252,7 +252,7 @@
                 id: id.clone(),
                 start: record.start,
                 address: record.upstream.address,
-                zone: record.upstream.hall.clone(),
+                zone: record.upstream.zone.clone(),
             })
         })
     }
@@ -308,7 +308,7 @@
         let mut exclude = table.keys_of(tried);
         exclude.extend(table.keys(|id, record| !filter.allows(now, id, record)));
         let req = PickRequest {
-            hall: zone,
+            zone,
             affinity: None,
             exclude: &exclude,
         };
--- a/crates/gateway/tests/whole/backoffs.rs
+++ b/crates/gateway/tests/whole/backoffs.rs
@@ -10,13 +10,13 @@
 use crate::fakes::FakeUpstream;
 use crate::fakes::Harness;
 use crate::fakes::Reply;
-use crate::fakes::ending_fleet::repeat;
-use crate::fakes::noticing::LOAD;
-use crate::fakes::noticing::ON_ITS_WAY;
-use crate::fakes::noticing::PAUSE;
-use crate::fakes::noticing::all_served;
-use crate::fakes::noticing::arrivals;
-use crate::fakes::noticing::gateway;
+use crate::fakes::crash_fleet::send_repeatedly;
+use crate::fakes::upstream_notices::IN_FLIGHT_GRACE;
+use crate::fakes::upstream_notices::LOAD;
+use crate::fakes::upstream_notices::PAUSE;
+use crate::fakes::upstream_notices::arrivals;
+use crate::fakes::upstream_notices::assert_all_served;
+use crate::fakes::upstream_notices::gateway;
 
 /// The backoff that an upstream asks for, and its text in the response.
 const BACKOFF: Duration = Duration::from_secs(3);
@@ -35,10 +35,10 @@
         let upstream = &harness.upstreams[backing_off];
         upstream.set_replies(vec![Reply::BackOff(BACKOFF_TEXT)]);
         let refused_at = send_until_received(&harness, path, upstream).await;
-        all_served(&repeat(&harness, path, PAUSE, BACKOFF - ON_ITS_WAY).await);
-        let late = arrivals(upstream, refused_at + ON_ITS_WAY, refused_at + BACKOFF);
+        assert_all_served(&send_repeatedly(&harness, path, PAUSE, BACKOFF - IN_FLIGHT_GRACE).await);
+        let late = arrivals(upstream, refused_at + IN_FLIGHT_GRACE, refused_at + BACKOFF);
         assert_eq!(late, 0, "sent during the backoff");
-        repeat(&harness, path, PAUSE, LOAD).await;
+        send_repeatedly(&harness, path, PAUSE, LOAD).await;
         let again = arrivals(upstream, refused_at + BACKOFF, Instant::now());
         assert!(again > 0, "no request after the backoff");
     });
@@ -65,7 +65,11 @@
         assert_eq!(received.run.as_deref(), Some("not run"));
         let retry = received.retry.expect("a retry time");
         assert!(retry > BACKOFF, "{retry:?}, but all backoffs are longer");
-        assert!(sent_at.elapsed() < ON_ITS_WAY, "{:?}", sent_at.elapsed());
+        assert!(
+            sent_at.elapsed() < IN_FLIGHT_GRACE,
+            "{:?}",
+            sent_at.elapsed()
+        );
         for upstream in &harness.upstreams[..2] {
             assert_eq!(arrivals(upstream, sent_at, Instant::now()), 0);
         }
@@ -95,7 +99,11 @@
             let retry = received.retry.expect("a retry time");
             assert!(retry > BACKOFF, "{retry:?}, but all backoffs are longer");
         }
-        assert!(sent_at.elapsed() < ON_ITS_WAY, "{:?}", sent_at.elapsed());
+        assert!(
+            sent_at.elapsed() < IN_FLIGHT_GRACE,
+            "{:?}",
+            sent_at.elapsed()
+        );
         for upstream in &harness.upstreams[1..] {
             assert_eq!(arrivals(upstream, sent_at, Instant::now()), 0);
         }
@@ -117,7 +125,7 @@
             Timer::after(PAUSE).await;
         }
         let took = refused_at.elapsed();
-        let due = Duration::from_millis(1_100) + ON_ITS_WAY;
+        let due = Duration::from_millis(1_100) + IN_FLIGHT_GRACE;
         assert!(took >= Duration::from_secs(1) && took < due, "{took:?}");
         assert_eq!(
             harness.counter_total("jd_gateway_repeats_total").await,
--- a/crates/gateway/tests/whole/fakes/harness.rs
+++ b/crates/gateway/tests/whole/fakes/harness.rs
@@ -106,7 +106,12 @@
         for (n, (service, replies)) in pool.chain(stages).enumerate() {
             let (upstream, server) = FakeUpstream::start(&executor, replies);
             let id = format!("i-{n}");
-            records.push(entry(&id, service, server.address(), UpstreamStart::UNTOLD));
+            records.push(entry(
+                &id,
+                service,
+                server.address(),
+                UpstreamStart::UNKNOWN,
+            ));
             upstreams.push(upstream);
             servers.push(server);
         }
@@ -157,7 +162,7 @@
             &format!("i-{upstream}"),
             "pool",
             address,
-            UpstreamStart::UNTOLD,
+            UpstreamStart::UNKNOWN,
         );
         if let Record::Upstream(entry) = &mut record {
             change(entry);
@@ -199,9 +204,9 @@
     /// `refused_pages` pages other than first pages, and every call if `away`.
     pub(crate) fn add_gateway(&mut self, refused_pages: usize, away: bool) -> Arc<FakeStore> {
         let executor = self.workers.executor();
-        let store = Arc::new(self.store.seen_by_another());
-        store.refuse_pages(refused_pages);
-        store.set_away(away);
+        let store = Arc::new(self.store.for_another_instance());
+        store.refuse_next_pages(refused_pages);
+        store.set_unavailable(away);
         let started = start_gateway(&executor, &self.pool, &store);
         self.fleet.push(Member {
             store: Arc::clone(&store),
@@ -229,7 +234,7 @@
 
     /// Waits until exactly two gateways watch the store and have seen all of its changes.
     pub(crate) async fn until_two_watch(&self) {
-        let watch = |s: &&Arc<FakeStore>| s.watches() > 0 && s.is_seen();
+        let watch = |s: &&Arc<FakeStore>| s.watches() > 0 && s.is_caught_up();
         let all = || self.stores().map(|s| s.watches()).sum::<usize>();
         while self.stores().filter(watch).count() != 2 || all() != 2 {
             Timer::after(Duration::from_millis(5)).await;
@@ -242,7 +247,7 @@
         let watch = |s: &&Arc<FakeStore>| s.watches() > 0;
         let watching: Vec<&Arc<FakeStore>> = self.stores().filter(watch).collect();
         for store in &watching {
-            store.set_away(true);
+            store.set_unavailable(true);
         }
         let added = self.fleet.iter().map(|m| &m.store);
         added
@@ -253,7 +258,7 @@
     /// Makes the store stop answering the gateways that watch it.
     pub(crate) fn silence_watching(&self) {
         for store in self.stores().filter(|s| s.watches() > 0) {
-            store.fall_silent();
+            store.stop_answering();
         }
     }
 
@@ -281,7 +286,7 @@
     /// Waits until instances have written `count` entries. Returns the writer of the last one.
     pub(crate) async fn until_announced(&self, count: usize) -> Incarnation {
         loop {
-            let written = self.store.announced();
+            let written = self.store.announced_instances();
             match written.last() {
                 Some(last) if written.len() >= count => return *last,
                 _ => Timer::after(Duration::from_millis(5)).await,
@@ -363,7 +368,7 @@
         let retry = retry.map(Duration::from_millis);
         let mut body = String::new();
         let whole = loop {
-            match response.part().await {
+            match response.chunk().await {
                 Ok(Some(part)) => body.push_str(&String::from_utf8_lossy(&part)),
                 Ok(None) => break true,
                 Err(_) => break false,
--- a/crates/gateway/tests/whole/leaving.rs
+++ b/crates/gateway/tests/whole/leaving.rs
@@ -16,13 +16,13 @@
 use crate::fakes::CallerResponse;
 use crate::fakes::Harness;
 use crate::fakes::Reply;
-use crate::fakes::ending_fleet::repeat;
-use crate::fakes::noticing::LOAD;
-use crate::fakes::noticing::ON_ITS_WAY;
-use crate::fakes::noticing::PAUSE;
-use crate::fakes::noticing::all_served;
-use crate::fakes::noticing::arrivals;
-use crate::fakes::noticing::gateway;
+use crate::fakes::crash_fleet::send_repeatedly;
+use crate::fakes::upstream_notices::IN_FLIGHT_GRACE;
+use crate::fakes::upstream_notices::LOAD;
+use crate::fakes::upstream_notices::PAUSE;
+use crate::fakes::upstream_notices::arrivals;
+use crate::fakes::upstream_notices::assert_all_served;
+use crate::fakes::upstream_notices::gateway;
 
 /// Guards against further requests to an upstream that has announced its shutdown in its
 /// responses while the store still lists it as ready.
@@ -35,9 +35,9 @@
     block_on(async {
         harness.until_ready(true).await;
         harness.upstreams[leaving].announce_leaving();
-        repeat(&harness, path, PAUSE, ON_ITS_WAY).await;
+        send_repeatedly(&harness, path, PAUSE, IN_FLIGHT_GRACE).await;
         let measured_from = Instant::now();
-        all_served(&repeat(&harness, path, PAUSE, LOAD).await);
+        assert_all_served(&send_repeatedly(&harness, path, PAUSE, LOAD).await);
         let late = arrivals(&harness.upstreams[leaving], measured_from, Instant::now());
         assert_eq!(late, 0, "sent after the upstream announced its shutdown");
     });
@@ -50,14 +50,14 @@
     let harness = gateway(3);
     block_on(async {
         harness.until_ready(true).await;
-        harness.store.set_away(true);
+        harness.store.set_unavailable(true);
         harness.upstreams[0].announce_leaving();
-        repeat(&harness, "/open/x", PAUSE, ON_ITS_WAY).await;
+        send_repeatedly(&harness, "/open/x", PAUSE, IN_FLIGHT_GRACE).await;
         let measured_from = Instant::now();
-        all_served(&repeat(&harness, "/open/x", PAUSE, LOAD).await);
-        harness.store.set_away(false);
+        assert_all_served(&send_repeatedly(&harness, "/open/x", PAUSE, LOAD).await);
+        harness.store.set_unavailable(false);
         harness.set_cold(0, Duration::ZERO);
-        all_served(&repeat(&harness, "/open/x", PAUSE, LOAD).await);
+        assert_all_served(&send_repeatedly(&harness, "/open/x", PAUSE, LOAD).await);
         let late = arrivals(&harness.upstreams[0], measured_from, Instant::now());
         assert_eq!(late, 0, "sent after the upstream announced its shutdown");
     });
@@ -80,9 +80,9 @@
         harness.upstreams[0].announce_leaving();
         drop(held.0);
         assert_eq!(held.1.await.status, 200);
-        harness.store.change(Change::ZoneTakenBack(zone));
+        harness.store.change(Change::EvacuationEnded(zone));
         let measured_from = Instant::now();
-        all_served(&repeat(&harness, "/any/x", PAUSE, LOAD).await);
+        assert_all_served(&send_repeatedly(&harness, "/any/x", PAUSE, LOAD).await);
         let late = arrivals(&harness.upstreams[0], measured_from, Instant::now());
         assert_eq!(late, 0, "sent after the upstream announced its shutdown");
     });
@@ -99,9 +99,9 @@
             cut: true,
         }]);
         harness.upstreams[0].announce_leaving();
-        repeat(&harness, "/any/x", PAUSE, ON_ITS_WAY).await;
+        send_repeatedly(&harness, "/any/x", PAUSE, IN_FLIGHT_GRACE).await;
         let measured_from = Instant::now();
-        all_served(&repeat(&harness, "/any/x", PAUSE, LOAD).await);
+        assert_all_served(&send_repeatedly(&harness, "/any/x", PAUSE, LOAD).await);
         let late = arrivals(&harness.upstreams[0], measured_from, Instant::now());
         assert_eq!(late, 0, "sent after the upstream announced its shutdown");
     });
@@ -136,7 +136,7 @@
     block_on(async {
         harness.until_ready(true).await;
         harness.upstreams[0].set_replies(vec![Reply::Misdirected]);
-        all_served(&repeat(&harness, "/any/x", PAUSE, LOAD).await);
+        assert_all_served(&send_repeatedly(&harness, "/any/x", PAUSE, LOAD).await);
         let sent = harness.upstreams[0].count();
         assert!(sent <= 2, "{sent} requests were refused");
         harness.upstreams[0].set_replies(vec![Reply::Complete("its answer")]);
@@ -174,7 +174,7 @@
 async fn wait_until_avoided(harness: &Arc<Harness>) {
     loop {
         let received = harness.upstreams[0].count();
-        repeat(harness, "/any/x", PAUSE, ON_ITS_WAY).await;
+        send_repeatedly(harness, "/any/x", PAUSE, IN_FLIGHT_GRACE).await;
         if harness.upstreams[0].count() == received {
             return;
         }
--- a/crates/gateway/tests/whole/requests.rs
+++ b/crates/gateway/tests/whole/requests.rs
@@ -182,12 +182,12 @@
     let harness = Harness::start(vec![vec![Reply::Complete("yours")]]);
     block_on(async {
         harness.until_ready(true).await;
-        harness.store.set_away(true);
+        harness.store.set_unavailable(true);
         harness.until_ready(false).await;
         assert_eq!(harness.ask("/any/x", "1").await.status, 503);
         assert_eq!(harness.ask_with_key("/any/x", "key-2").await.status, 503);
         assert_eq!(requests_received(&harness), 0);
-        harness.store.set_away(false);
+        harness.store.set_unavailable(false);
         harness.until_ready(true).await;
         assert_eq!(harness.ask("/any/x", "2").await, answered("yours"));
     });
@@ -200,15 +200,15 @@
     let harness = Harness::start(vec![vec![Reply::Complete("a")], vec![Reply::Complete("b")]]);
     block_on(async {
         harness.until_ready(true).await;
-        harness.store.change(Change::UpstreamGone("i-0".into()));
+        harness.store.change(Change::UpstreamRemoved("i-0".into()));
         // A removal seen only after a store outage would count as the expiry of the entry.
-        while !harness.store.is_seen() {
+        while !harness.store.is_caught_up() {
             async_io::Timer::after(Duration::from_millis(2)).await;
         }
         assert_eq!(harness.ask("/any/x", "1").await, answered("b"));
-        harness.store.set_away(true);
+        harness.store.set_unavailable(true);
         harness.until_ready(false).await;
-        harness.store.set_away(false);
+        harness.store.set_unavailable(false);
         harness.until_ready(true).await;
         let before = harness.upstreams[0].count();
         for _ in 0..30 {
