--- a/crates/gateway/src/batch_dispatcher.rs
+++ b/crates/gateway/src/batch_dispatcher.rs
@@ -213,9 +213,9 @@
             .scheduler
             .fail_quarantined(|content| quarantine.time_left(now, content));
         entry.scheduler.expire(now);
-        for question in entry.scheduler.storage_queries(now) {
-            let query = Arc::clone(self).query_storage(shard.clone(), question);
-            self.state.executor.spawn(query).detach();
+        for query in entry.scheduler.storage_queries(now) {
+            let task = Arc::clone(self).query_storage(shard.clone(), query);
+            self.state.executor.spawn(task).detach();
         }
         while let Some(call) = entry.scheduler.next_call(now) {
             let dispatcher = Arc::clone(self);
@@ -234,36 +234,34 @@
     }
 
     /// Queries an upstream for its free result storage.
-    async fn query_storage(self: Arc<Self>, shard: Shard, question: StorageQuery) {
-        let report = self.storage_report(&question).await;
+    async fn query_storage(self: Arc<Self>, shard: Shard, query: StorageQuery) {
+        let report = self.storage_report(&query).await;
         log::info!(
-            service = question.service.as_str(),
-            upstream = question.upstream.as_str(),
+            service = query.service.as_str(),
+            upstream = query.upstream.as_str(),
             free:? = report.map(|t| t.free_bytes);
             "storage queried"
         );
         if let Some(entry) = lock(&self.schedulers).get_mut(&shard) {
             let now = self.state.now();
-            entry
-                .scheduler
-                .record_storage_report(now, &question, report);
+            entry.scheduler.record_storage_report(now, &query, report);
         }
         self.schedule(&shard);
     }
 
-    async fn storage_report(&self, question: &StorageQuery) -> Option<StorageReport> {
+    async fn storage_report(&self, query: &StorageQuery) -> Option<StorageReport> {
         let (state, dialect) = (&self.state, &self.state.dialect);
         let upstream = UpstreamRef {
-            service: question.service.clone(),
-            id: question.upstream.clone(),
-            start: question.start,
-            address: question.address,
+            service: query.service.clone(),
+            id: query.upstream.clone(),
+            start: query.start,
+            address: query.address,
         };
         let permit = state
             .upstream_client
             .permit(state, upstream, SendPurpose::Maintenance)
             .await;
-        let req = dialect.storage_request(&question.upstream);
+        let req = dialect.storage_request(&query.upstream);
         let sending =
             state
                 .upstream_client
--- a/crates/gateway/src/cluster_state.rs
+++ b/crates/gateway/src/cluster_state.rs
@@ -52,7 +52,7 @@
     /// The recent health of an instance as an update source.
     pub(crate) fn source_health(&self, now: MonoTime, id: Incarnation) -> SourceHealth {
         match self.source_health_by_peer.get(&id) {
-            Some((since, state)) if now.since(*since) < SOURCE_HEALTH_LIFETIME => *state,
+            Some((since, health)) if now.since(*since) < SOURCE_HEALTH_LIFETIME => *health,
             _ => SourceHealth::Available,
         }
     }
@@ -62,11 +62,11 @@
         &mut self,
         now: MonoTime,
         id: Incarnation,
-        state: SourceHealth,
+        health: SourceHealth,
     ) {
-        match state {
+        match health {
             SourceHealth::Available => self.source_health_by_peer.remove(&id),
-            _ => self.source_health_by_peer.insert(id, (now, state)),
+            _ => self.source_health_by_peer.insert(id, (now, health)),
         };
     }
 
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -34,7 +34,7 @@
     requests: Family<Outcome, Counter>,
     attempts: Family<Outcome, Counter>,
     stages: Family<Outcome, Counter>,
-    repeats: Family<Outcome, Counter>,
+    retries: Family<Outcome, Counter>,
     store_calls: Family<StoreOutcome, Counter>,
     broken_runs: Family<Outcome, Counter>,
     quarantine_changes: Family<Outcome, Counter>,
@@ -54,7 +54,7 @@
             requests: Family::default(),
             attempts: Family::default(),
             stages: Family::default(),
-            repeats: Family::default(),
+            retries: Family::default(),
             store_calls: Family::default(),
             broken_runs: Family::default(),
             quarantine_changes: Family::default(),
@@ -84,7 +84,7 @@
         r.register(
             "jd_gateway_repeats",
             "Repeats asked for",
-            metrics.repeats.clone(),
+            metrics.retries.clone(),
         );
         r.register(
             "jd_gateway_store_calls",
@@ -146,9 +146,9 @@
         self.stage_seconds.observe(took.as_secs_f64());
     }
 
-    pub(crate) fn repeat(&self, allowed: bool) {
+    pub(crate) fn retry(&self, allowed: bool) {
         let outcome = if allowed { "allowed" } else { "over-budget" };
-        self.repeats.get_or_create(&Outcome { outcome }).inc();
+        self.retries.get_or_create(&Outcome { outcome }).inc();
     }
 
     pub(crate) fn store_call(&self, call: &'static str, outcome: &'static str) {
--- a/crates/gateway/src/peer_client.rs
+++ b/crates/gateway/src/peer_client.rs
@@ -217,7 +217,7 @@
     /// The instances that heartbeats are exchanged with, noted as watched.
     fn watched(&self, mut all: Vec<InstanceEntry>) -> Vec<InstanceEntry> {
         let shards = self.state.watched_shards();
-        let source = self.state.news_source().instance();
+        let source = self.state.update_source().instance();
         let ids = heartbeat_peers(&self.state.own_entry, &all, &shards, source);
         let now = self.state.now();
         self.state.cluster().instances.set_monitored(now, &ids);
--- a/crates/gateway/src/revision_poller.rs
+++ b/crates/gateway/src/revision_poller.rs
@@ -38,7 +38,7 @@
                     Timer::after(retry_pause(failures)).await;
                 }
             }
-            let follows = state.news_source() != UpdateSource::Store;
+            let follows = state.update_source() != UpdateSource::Store;
             // Proof of nothing is worth nothing: of a fleet that starts at once all
             // would ask several times a second beside reading.
             if follows || !state.store_loaded() {
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -259,11 +259,11 @@
     }
 
     /// The source from which this instance receives store updates.
-    pub(crate) fn news_source(&self) -> UpdateSource {
+    pub(crate) fn update_source(&self) -> UpdateSource {
         let now = self.now();
         let cluster = self.cluster();
-        let state = |id| cluster.source_health(now, id);
-        update_source(&self.own_entry, cluster.instances.live(now), state)
+        let health = |id| cluster.source_health(now, id);
+        update_source(&self.own_entry, cluster.instances.live(now), health)
     }
 
     /// True once the whole store has been read.
@@ -288,19 +288,19 @@
     /// Computed from the addresses, which survive restarts, and over all listed instances, so
     /// that an instance which has just learned of the others does not count itself as the only
     /// one.
-    pub(crate) fn fleet_place(&self, upstream: SocketAddr) -> FleetPosition {
+    pub(crate) fn fleet_position(&self, upstream: SocketAddr) -> FleetPosition {
         let hash = |peers: SocketAddr| spread(spread_address(peers) ^ spread_address(upstream));
         let own = hash(self.own_entry.peer_address);
         let cluster = self.cluster();
-        let mut place = FleetPosition {
+        let mut position = FleetPosition {
             rank: 0,
             fleet_size: 1,
         };
         for other in cluster.instances.entries() {
-            place.fleet_size += 1;
-            place.rank += u32::from(hash(other.peer_address) < own);
+            position.fleet_size += 1;
+            position.rank += u32::from(hash(other.peer_address) < own);
         }
-        place
+        position
     }
 
     /// The cold-start limit of the upstreams of a service; none if they have no limit.
@@ -330,24 +330,24 @@
 
     /// Counts the first send of a request to a service, which adds to the retry budget.
     pub(crate) fn record_first_send(&self, service: &str) {
-        let bound = self.repeat_bound();
+        let limit = self.retry_limit();
         let now = self.now();
         let mut budgets = lock(&self.budgets);
         budgets
             .entry(service.into())
             .or_default()
-            .record_first_attempt(now, &bound);
+            .record_first_attempt(now, &limit);
     }
 
     /// Takes a retry from the budget of a service; false if the budget is used up.
     pub(crate) fn may_retry(&self, service: &str) -> bool {
-        let bound = self.repeat_bound();
+        let limit = self.retry_limit();
         let instances = self.instance_count() as usize;
         let now = self.now();
         let mut budgets = lock(&self.budgets);
         let budget = budgets.entry(service.into()).or_default();
-        let allowed = budget.try_retry(now, &bound, instances);
-        self.metrics.repeat(allowed);
+        let allowed = budget.try_retry(now, &limit, instances);
+        self.metrics.retry(allowed);
         allowed
     }
 
@@ -412,7 +412,7 @@
         self.shards.store(Arc::new(ShardMap::new(upstreams)));
     }
 
-    fn repeat_bound(&self) -> RetryLimit {
+    fn retry_limit(&self) -> RetryLimit {
         RetryLimit {
             ratio: self.settings.repeat_ratio,
             slack: self.settings.repeat_slack,
--- a/crates/gateway/src/store_applier.rs
+++ b/crates/gateway/src/store_applier.rs
@@ -246,7 +246,7 @@
     /// What is logged of a batch of changes: each upstream where this instance reads the
     /// store, or where they are few.
     fn upstream_lines(&self, changes: usize) -> UpstreamLines {
-        let each = changes <= LINES_A_BATCH || self.state.news_source() == UpdateSource::Store;
+        let each = changes <= LINES_A_BATCH || self.state.update_source() == UpdateSource::Store;
         UpstreamLines {
             each,
             written: 0,
--- a/crates/gateway/src/store_follower.rs
+++ b/crates/gateway/src/store_follower.rs
@@ -150,7 +150,7 @@
         let state = &self.link.state;
         self.reader.read_instances(patience).await?;
         let asked = state.now();
-        while let UpdateSource::Relay(id) = state.news_source()
+        while let UpdateSource::Relay(id) = state.update_source()
             && state.now().since(asked) < RELAYS_WITHIN
         {
             self.follow_instance(id, FIRST_FOLLOW_WAIT).await;
@@ -261,7 +261,7 @@
     /// Hears of what changed since the last round.
     async fn round(&self, last: Round) -> Round {
         let state = &self.link.state;
-        match state.news_source() {
+        match state.update_source() {
             UpdateSource::Reader(id) | UpdateSource::Relay(id)
                 if self.follow_instance(id, FOLLOW_WAIT).await =>
             {
@@ -313,7 +313,7 @@
             }
             Err(e) => {
                 self.link.call_failed(StoreCall::Watch, e);
-                if state.news_source() == UpdateSource::Store {
+                if state.update_source() == UpdateSource::Store {
                     state.store_recovered.wait_timeout(AWAY_PAUSE).await;
                 }
                 Round::Kept
@@ -365,7 +365,7 @@
         let mut cluster = state.cluster();
         cluster.record_source_health(now, id, SourceHealth::StoreUnavailable);
         drop(cluster);
-        if state.news_source().instance() == Some(id) {
+        if state.update_source().instance() == Some(id) {
             self.link.mark_unavailable();
         } else {
             log::info!(source:% = id; "the instance followed has lost the store");
@@ -378,7 +378,7 @@
     /// instance's place, its own proof is not asked for any more, so that nothing shows
     /// what it lacks; it waited for its watch for half a minute.
     async fn until_others_tell(&self) {
-        while self.link.state.news_source() == UpdateSource::Store {
+        while self.link.state.update_source() == UpdateSource::Store {
             Timer::after(NEWS_BEHIND).await;
         }
     }
--- a/crates/gateway/src/store_link.rs
+++ b/crates/gateway/src/store_link.rs
@@ -67,7 +67,7 @@
         loop {
             Timer::after(REPORT_EVERY).await;
             if let Some(counts) = self.counts.take() {
-                let source = self.state.news_source();
+                let source = self.state.update_source();
                 log::info!(counts = counts.as_str(), source:? = source; "store calls");
             }
         }
@@ -103,7 +103,7 @@
         cluster.record_source_health(now, me, SourceHealth::StoreUnavailable);
         drop(cluster);
         // The store may turn just this instance away while another hears it.
-        if self.state.news_source() == UpdateSource::Store {
+        if self.state.update_source() == UpdateSource::Store {
             self.mark_unavailable();
         }
     }
--- a/crates/gateway/src/upstream_backoffs.rs
+++ b/crates/gateway/src/upstream_backoffs.rs
@@ -68,13 +68,13 @@
         now: MonoTime,
         upstream: &UpstreamRef,
         wait: RetryAfter,
-        place: FleetPosition,
+        position: FleetPosition,
     ) -> bool {
         let UpstreamRef {
             id, start, address, ..
         } = upstream;
         let mut backoffs = lock(&self.backoffs);
-        let longer = backoffs.record(now, *address, id, *start, wait, place);
+        let longer = backoffs.record(now, *address, id, *start, wait, position);
         self.any.store(true, Ordering::Relaxed);
         longer
     }
@@ -138,8 +138,8 @@
 }
 
 fn apply_backoff(state: &State, upstream: &UpstreamRef, wait: RetryAfter) {
-    let place = state.fleet_place(upstream.address);
-    let longer = state.backoffs.start(state.now(), upstream, wait, place);
+    let position = state.fleet_position(upstream.address);
+    let longer = state.backoffs.start(state.now(), upstream, wait, position);
     state.metrics.notice("backoff");
     let wait_ms = u64::try_from(wait.wait().as_millis()).unwrap_or(u64::MAX);
     log::info!(
--- a/crates/gateway/src/upstream_client.rs
+++ b/crates/gateway/src/upstream_client.rs
@@ -293,7 +293,7 @@
             return true;
         }
         // Computed while `cold` is not locked; see `SelectionFilter::cold_allows`.
-        let place = state.fleet_place(self.to.address);
-        lock(cold).may_send(now, spec, place)
+        let position = state.fleet_position(self.to.address);
+        lock(cold).may_send(now, spec, position)
     }
 }
--- a/crates/gateway/src/upstream_table.rs
+++ b/crates/gateway/src/upstream_table.rs
@@ -110,8 +110,8 @@
         }
         // Computed while `cold` is not locked. The rebuild of the table locks the cluster state
         // first and then the cold state of each upstream; the opposite order could deadlock.
-        let place = self.state.fleet_place(record.upstream.address);
-        lock(&record.cold).may_send(now, spec, place)
+        let position = self.state.fleet_position(record.upstream.address);
+        lock(&record.cold).may_send(now, spec, position)
     }
 }
 
--- a/crates/gateway/tests/whole/fakes/deployments.rs
+++ b/crates/gateway/tests/whole/fakes/deployments.rs
@@ -28,12 +28,12 @@
     result_ttl: Duration::from_secs(4),
 };
 
-fn route(name: &str, repeat: RetryMode) -> Route {
+fn route(name: &str, retry_mode: RetryMode) -> Route {
     Route {
         name: name.into(),
         host: "desk.example".into(),
         prefix: format!("/{name}/").into(),
-        retry_mode: repeat,
+        retry_mode,
         timeout: Duration::from_secs(20),
         objective: Duration::from_secs(1),
         priority: 1,
--- a/crates/gateway/tests/whole/fakes/harness.rs
+++ b/crates/gateway/tests/whole/fakes/harness.rs
@@ -201,12 +201,16 @@
     }
 
     /// Starts another gateway and returns its view of the store. The store refuses this gateway
-    /// `refused_pages` pages other than first pages, and every call if `away`.
-    pub(crate) fn add_gateway(&mut self, refused_pages: usize, away: bool) -> Arc<FakeStore> {
+    /// `refused_pages` pages other than first pages, and every call if `unavailable`.
+    pub(crate) fn add_gateway(
+        &mut self,
+        refused_pages: usize,
+        unavailable: bool,
+    ) -> Arc<FakeStore> {
         let executor = self.workers.executor();
         let store = Arc::new(self.store.for_another_instance());
         store.refuse_next_pages(refused_pages);
-        store.set_unavailable(away);
+        store.set_unavailable(unavailable);
         let started = start_gateway(&executor, &self.pool, &store);
         self.fleet.push(Member {
             store: Arc::clone(&store),
