--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What the gateway counts.
+//! The metrics of the gateway.
 
 use std::time::Duration;
 
@@ -27,14 +27,14 @@
     kind: &'static str,
 }
 
-/// What the gateway counts, and its text form.
+/// The metrics of the gateway, with their encoding as text.
 #[derive(Debug)]
 pub(crate) struct Metrics {
     registry: Registry,
     requests: Family<Outcome, Counter>,
     attempts: Family<Outcome, Counter>,
     stages: Family<Outcome, Counter>,
-    repeats: Family<Outcome, Counter>,
+    retries: Family<Outcome, Counter>,
     store_calls: Family<StoreOutcome, Counter>,
     broken_runs: Family<Outcome, Counter>,
     quarantine_changes: Family<Outcome, Counter>,
@@ -48,13 +48,13 @@
 impl Metrics {
     pub(crate) fn new() -> Metrics {
         let mut registry = Registry::default();
-        // From 1 ms, doubled, to half a minute.
+        // Buckets from 1 ms to half a minute, each double the one before.
         let histogram = || Histogram::new(exponential_buckets(0.001, 2.0, 16));
         let metrics = Metrics {
             requests: Family::default(),
             attempts: Family::default(),
             stages: Family::default(),
-            repeats: Family::default(),
+            retries: Family::default(),
             store_calls: Family::default(),
             broken_runs: Family::default(),
             quarantine_changes: Family::default(),
@@ -84,7 +84,7 @@
         r.register(
             "jd_gateway_repeats",
             "Repeats asked for",
-            metrics.repeats.clone(),
+            metrics.retries.clone(),
         );
         r.register(
             "jd_gateway_store_calls",
@@ -146,9 +146,9 @@
         self.stage_seconds.observe(took.as_secs_f64());
     }
 
-    pub(crate) fn repeat(&self, allowed: bool) {
+    pub(crate) fn retry(&self, allowed: bool) {
         let outcome = if allowed { "allowed" } else { "over-budget" };
-        self.repeats.get_or_create(&Outcome { outcome }).inc();
+        self.retries.get_or_create(&Outcome { outcome }).inc();
     }
 
     pub(crate) fn store_call(&self, call: &'static str, outcome: &'static str) {
@@ -180,7 +180,7 @@
             .set(i64::try_from(count).unwrap_or(i64::MAX));
     }
 
-    /// The text form that collectors read.
+    /// Encodes the metrics in the text format that collectors read.
     pub(crate) fn text(&self) -> String {
         let mut buf = String::new();
         if let Err(e) = encode(&mut buf, &self.registry) {
--- a/crates/gateway/src/peer_client.rs
+++ b/crates/gateway/src/peer_client.rs
@@ -26,10 +26,10 @@
 
 use crate::peer_instance;
 use crate::peer_limits;
-use crate::peer_quarantine;
 use crate::peer_quarantine::RunReport;
-use crate::peer_replication;
+use crate::peer_quarantine;
 use crate::peer_replication::SourceReply;
+use crate::peer_replication;
 use crate::peer_stages;
 use crate::quarantine::QuarantineSource;
 use crate::state::State;
@@ -221,7 +221,7 @@
     /// Selects the instances to exchange heartbeats with, and marks them as monitored.
     fn select_monitored(&self, mut all: Vec<InstanceEntry>) -> Vec<InstanceEntry> {
         let shards = self.state.watched_shards();
-        let source = self.state.news_source().instance();
+        let source = self.state.update_source().instance();
         let ids = heartbeat_peers(&self.state.own_entry, &all, &shards, source);
         let now = self.state.now();
         self.state.cluster().instances.set_monitored(now, &ids);
--- a/crates/gateway/src/revision_poller.rs
+++ b/crates/gateway/src/revision_poller.rs
@@ -41,7 +41,7 @@
                     Timer::after(retry_pause(failures)).await;
                 }
             }
-            let follows = state.news_source() != UpdateSource::Store;
+            let follows = state.update_source() != UpdateSource::Store;
             // A proof is useless before the first load. All instances of a fleet that
             // starts at once would poll several times a second while they load.
             if follows || !state.store_loaded() {
--- a/crates/gateway/src/store_applier.rs
+++ b/crates/gateway/src/store_applier.rs
@@ -248,7 +248,7 @@
     /// store itself or the changes are few, else as a summary.
     fn upstream_log(&self, changes: usize) -> UpstreamLog {
         let each =
-            changes <= MAX_LINES_PER_BATCH || self.state.news_source() == UpdateSource::Store;
+            changes <= MAX_LINES_PER_BATCH || self.state.update_source() == UpdateSource::Store;
         UpstreamLog {
             each,
             written: 0,
--- a/crates/gateway/src/store_follower.rs
+++ b/crates/gateway/src/store_follower.rs
@@ -155,7 +155,7 @@
         let state = &self.link.state;
         self.reader.read_instances(timeout).await?;
         let asked = state.now();
-        while let UpdateSource::Relay(id) = state.news_source()
+        while let UpdateSource::Relay(id) = state.update_source()
             && state.now().since(asked) < RELAY_FETCH_TIMEOUT
         {
             self.follow_instance(id, FIRST_FETCH_TIMEOUT).await;
@@ -267,7 +267,7 @@
     /// Gets the changes since the last round, from the current update source.
     async fn sync_round(&self, last: SyncState) -> SyncState {
         let state = &self.link.state;
-        match state.news_source() {
+        match state.update_source() {
             UpdateSource::Reader(id) | UpdateSource::Relay(id)
                 if self.follow_instance(id, FOLLOW_TIMEOUT).await =>
             {
@@ -319,7 +319,7 @@
             }
             Err(e) => {
                 self.link.call_failed(StoreCall::Watch, e);
-                if state.news_source() == UpdateSource::Store {
+                if state.update_source() == UpdateSource::Store {
                     state.store_recovered.wait_timeout(UNAVAILABLE_PAUSE).await;
                 }
                 SyncState::UpToDate
@@ -373,7 +373,7 @@
         let mut cluster = state.cluster();
         cluster.record_source_health(now, id, SourceHealth::StoreUnavailable);
         drop(cluster);
-        if state.news_source().instance() == Some(id) {
+        if state.update_source().instance() == Some(id) {
             self.link.mark_unavailable();
         } else {
             log::info!(source:% = id; "the instance that this one follows cannot reach the store");
@@ -386,7 +386,7 @@
     /// over as readers and this one no longer polls the revision, so nothing shows that it lacks
     /// changes; it waited for its watch for half a minute.
     async fn until_following_others(&self) {
-        while self.link.state.news_source() == UpdateSource::Store {
+        while self.link.state.update_source() == UpdateSource::Store {
             Timer::after(BEHIND_CHECK_INTERVAL).await;
         }
     }
--- a/crates/gateway/src/store_link.rs
+++ b/crates/gateway/src/store_link.rs
@@ -68,7 +68,7 @@
         loop {
             Timer::after(REPORT_INTERVAL).await;
             if let Some(counts) = self.counts.take() {
-                let source = self.state.news_source();
+                let source = self.state.update_source();
                 log::info!(counts = counts.as_str(), source:? = source; "store calls");
             }
         }
@@ -105,7 +105,7 @@
         drop(cluster);
         // The store may refuse this instance alone while the update source still reaches
         // it.
-        if self.state.news_source() == UpdateSource::Store {
+        if self.state.update_source() == UpdateSource::Store {
             self.mark_unavailable();
         }
     }
--- a/crates/gateway/tests/whole/fakes/mod.rs
+++ b/crates/gateway/tests/whole/fakes/mod.rs
@@ -1,4 +1,4 @@
-//! A store, a dialect and upstreams for tests of the whole gateway.
+//! Fakes of the store, the dialect and upstreams for tests of whole gateways.
 
 pub(crate) mod crash_fleet;
 mod crashing_upstreams;
