--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -1,29 +1,29 @@
-//! Whether a request can still be answered in time.
+//! Deadline-based admission control.
 
 use std::time::Duration;
 
 use jd_types::MonoTime;
 
-/// What the deadline leaves.
+/// The result of comparing the expected processing time with the deadline.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdmissionCheck {
-    /// It can be answered; the slack is what it can wait.
+    /// The request can be answered before its deadline.
     Fits {
-        /// Time to spare beyond the expected work.
+        /// Time left beyond the expected processing time, available for queueing.
         slack: Duration,
     },
-    /// It would miss; coming back after that long may help.
+    /// The request is expected to miss its deadline.
     WouldMiss {
-        /// By how much it would miss.
+        /// How far the expected processing time exceeds the time left.
         short_by: Duration,
     },
 }
 
-/// Compares the time left with the `expected` time of all remaining work.
+/// Compares the time until `deadline` with the `expected` time of all remaining stages.
 ///
-/// Guards against work that is certain to be wasted: under overload, a request
-/// that starts late runs its first stages, misses in the last and has cost as
-/// much as one that was answered.
+/// Rejecting early avoids wasted work. Under overload, a request that starts late
+/// completes its first stages, misses its deadline in the last one, and costs as much
+/// as a request that is answered.
 pub fn check_deadline(now: MonoTime, deadline: MonoTime, expected: Duration) -> AdmissionCheck {
     let left = deadline.since(now);
     match left.checked_sub(expected) {
--- a/crates/policy/src/admission_queue.rs
+++ b/crates/policy/src/admission_queue.rs
@@ -1,4 +1,4 @@
-//! Who gets the next slot of a pool.
+//! Admission queue of a pool.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -12,41 +12,45 @@
 use crate::QueueEntry;
 use crate::QueueEntryId;
 
-/// One unit of work, in the units of virtual time.
-const UNIT: u64 = 1 << 16;
+/// The virtual time that one entry of weight 1 takes.
+const ENTRY_COST: u64 = 1 << 16;
 
-/// Which order a gate serves its queue in.
+/// The order in which queued entries are started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QueuePolicy {
-    /// By priority, then fair by customer's weight, then least slack first;
-    /// refuses at once what would start too late.
+    /// By priority, then weighted fair queueing by customer, then earliest latest start.
+    /// Rejects an entry on arrival if it would start too late.
     WeightedFair,
-    /// First come, first served, and no refusal but for a full queue. A
-    /// baseline to measure against.
+    /// First in, first out; rejects entries only if the queue is full. Baseline for
+    /// comparisons.
     Fifo,
 }
 
-/// The answer to a ticket.
+/// The result of requesting a slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SlotDecision {
-    /// Start now; one slot is taken.
+    /// The entry can start now and holds a slot.
     Start,
-    /// Wait to be named by [`AdmissionQueue::pop_ready`] or [`AdmissionQueue::pop_expired`].
+    /// The entry is queued until [`AdmissionQueue::pop_ready`] or
+    /// [`AdmissionQueue::pop_expired`] returns it.
     Queued,
-    /// It would start too late; come back after about that long.
+    /// The entry would start too late. Holds the expected wait, as a retry delay.
     WouldMiss(Duration),
     /// The queue is full.
     Full,
 }
 
-/// The queue before one pool on one instance.
+/// The queue of requests for slots of one pool on one instance.
 ///
-/// Guards against two failures. One large customer's burst fills a plain queue
-/// and the small ones miss their deadlines: here each customer's work is
-/// stamped with a virtual finish time that advances by 1/weight, so a burst
-/// only delays its own sender. And a queue longer than the deadlines makes
-/// everybody miss while all upstreams are busy: here a ticket that the work
-/// ahead of it would delay past its latest start is refused on arrival.
+/// Prevents two failures of a plain queue:
+///
+/// - A burst of one large customer fills the queue, and small customers miss their
+///   deadlines. Each entry therefore gets a virtual finish time, which advances by
+///   1/weight per entry of the same customer, so that a burst delays only the customer
+///   that sent it.
+/// - The queue grows longer than the deadlines allow, and all requests miss them while
+///   all upstreams are busy. An entry is therefore rejected on arrival if the entries
+///   ahead of it would delay it past its latest start.
 ///
 /// # Examples
 ///
@@ -62,7 +66,7 @@
 /// use std::time::Duration;
 ///
 /// let mut queue = AdmissionQueue::new(QueuePolicy::WeightedFair, 1, 10);
-/// let ticket = |n| QueueEntry {
+/// let entry = |n| QueueEntry {
 ///     id: QueueEntryId(n),
 ///     customer: CustomerKey::from_index(0),
 ///     weight: 1,
@@ -70,9 +74,9 @@
 ///     latest_start: MonoTime::from_millis(15),
 /// };
 /// let service = Duration::from_millis(10);
-/// assert_eq!(queue.request_slot(MonoTime::ZERO, ticket(1), service), SlotDecision::Start);
-/// assert_eq!(queue.request_slot(MonoTime::ZERO, ticket(2), service), SlotDecision::Queued);
-/// assert!(matches!(queue.request_slot(MonoTime::ZERO, ticket(3), service), SlotDecision::WouldMiss(_)));
+/// assert_eq!(queue.request_slot(MonoTime::ZERO, entry(1), service), SlotDecision::Start);
+/// assert_eq!(queue.request_slot(MonoTime::ZERO, entry(2), service), SlotDecision::Queued);
+/// assert!(matches!(queue.request_slot(MonoTime::ZERO, entry(3), service), SlotDecision::WouldMiss(_)));
 /// ```
 #[derive(Debug)]
 pub struct AdmissionQueue {
@@ -82,14 +86,14 @@
     max_queue: usize,
     queued: HashMap<QueueEntryId, (QueueKey, MonoTime)>,
     order: BTreeSet<QueueKey>,
-    deadlines: BTreeSet<(MonoTime, QueueEntryId)>,
-    finish: BTreeMap<CustomerKey, u64>,
+    latest_starts: BTreeSet<(MonoTime, QueueEntryId)>,
+    last_finish: BTreeMap<CustomerKey, u64>,
     queued_by_priority: [usize; Priority::ALL.len()],
-    virtual_now: u64,
+    virtual_time: u64,
     arrivals: u64,
 }
 
-/// The order of service: priority, virtual finish, latest start, arrival.
+/// Sort key of a queued entry. The order of the fields is the order of comparison.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct QueueKey {
     priority: Priority,
@@ -100,7 +104,7 @@
 }
 
 impl AdmissionQueue {
-    /// A gate with `capacity` slots and room for `max_queue` waiting tickets.
+    /// Creates a queue with `capacity` slots and at most `max_queue` waiting entries.
     pub fn new(policy: QueuePolicy, capacity: u32, max_queue: usize) -> AdmissionQueue {
         AdmissionQueue {
             policy,
@@ -109,39 +113,39 @@
             max_queue,
             queued: HashMap::new(),
             order: BTreeSet::new(),
-            deadlines: BTreeSet::new(),
-            finish: BTreeMap::new(),
+            latest_starts: BTreeSet::new(),
+            last_finish: BTreeMap::new(),
             queued_by_priority: [0; Priority::ALL.len()],
-            virtual_now: 0,
+            virtual_time: 0,
             arrivals: 0,
         }
     }
 
-    /// Slots taken.
+    /// Number of slots in use.
     pub fn in_use(&self) -> u32 {
         self.in_use
     }
 
-    /// Tickets waiting.
+    /// Number of waiting entries.
     pub fn queue_len(&self) -> usize {
         self.queued.len()
     }
 
-    /// Slots of this instance's part of the pool.
+    /// This instance's share of the pool's slots.
     pub fn capacity(&self) -> u32 {
         self.capacity
     }
 
-    /// Changes the number of slots. A lower number takes effect as slots come back.
+    /// Changes the number of slots. A reduction takes effect as slots are released.
     pub fn set_capacity(&mut self, capacity: u32) {
         self.capacity = capacity;
     }
 
-    /// Asks for a slot. `service` is how long one holds it on average.
+    /// Requests a slot for `entry`. `service` is the mean time for which a slot is held.
     pub fn request_slot(
         &mut self,
         now: MonoTime,
-        ticket: QueueEntry,
+        entry: QueueEntry,
         service: Duration,
     ) -> SlotDecision {
         if self.in_use < self.capacity && self.queued.is_empty() {
@@ -151,40 +155,40 @@
         if self.queued.len() >= self.max_queue {
             return SlotDecision::Full;
         }
-        let wait = self.expected_wait(ticket.priority, service);
-        let late = now + wait > ticket.latest_start;
+        let wait = self.expected_wait(entry.priority, service);
+        let late = now + wait > entry.latest_start;
         match self.policy {
             QueuePolicy::WeightedFair if late => SlotDecision::WouldMiss(wait),
             QueuePolicy::WeightedFair | QueuePolicy::Fifo => {
-                self.enqueue(ticket);
+                self.enqueue(entry);
                 SlotDecision::Queued
             }
         }
     }
 
-    /// Gives a slot back.
+    /// Releases a slot.
     pub fn release_slot(&mut self) {
         self.in_use = self.in_use.saturating_sub(1);
     }
 
-    /// The next ticket that may start, if a slot is free; takes the slot.
+    /// Removes and returns the next entry if a slot is free. The entry then holds the slot.
     pub fn pop_ready(&mut self) -> Option<QueueEntryId> {
         if self.in_use >= self.capacity {
             return None;
         }
         let key = self.order.pop_first()?;
-        self.virtual_now = self.virtual_now.max(key.finish);
-        self.forget(key);
+        self.virtual_time = self.virtual_time.max(key.finish);
+        self.remove_indexes(key);
         self.in_use += 1;
         Some(key.id)
     }
 
-    /// The next ticket whose latest start has passed; it leaves the queue.
+    /// Removes and returns the next entry whose latest start has passed.
     ///
-    /// Such a ticket gets its refusal at once: waiting longer cannot help it.
+    /// The entry can be rejected at once, because it would miss its deadline anyway.
     pub fn pop_expired(&mut self, now: MonoTime) -> Option<QueueEntryId> {
-        match self.deadlines.first().copied() {
-            Some((latest, id)) if latest < now => {
+        match self.latest_starts.first().copied() {
+            Some((latest_start, id)) if latest_start < now => {
                 self.cancel(id);
                 Some(id)
             }
@@ -192,71 +196,73 @@
         }
     }
 
-    /// When the next ticket expires.
+    /// When the next entry expires.
     pub fn next_expiry(&self) -> Option<MonoTime> {
-        self.deadlines.first().map(|d| d.0)
+        self.latest_starts.first().map(|entry| entry.0)
     }
 
-    /// Takes a ticket out of the queue; false if it is not there.
+    /// Removes an entry from the queue. Returns false if it is not queued.
     pub fn cancel(&mut self, id: QueueEntryId) -> bool {
         match self.queued.get(&id).copied() {
             Some((key, _)) => {
                 self.order.remove(&key);
-                self.forget(key);
+                self.remove_indexes(key);
                 true
             }
             None => false,
         }
     }
 
-    /// How long a new ticket of that priority would wait. With no slot at all,
-    /// one turn of service is assumed: capacity is on loan and soon back.
+    /// How long a new entry of that priority would wait.
+    ///
+    /// Assumes one slot if this instance has none: its capacity is lent to other
+    /// instances and will soon be returned.
     pub fn expected_wait(&self, priority: Priority, service: Duration) -> Duration {
         let ahead: usize = self.queued_by_priority[..=priority.index()].iter().sum();
-        let turns = (ahead + 1) as f64 / f64::from(self.capacity.max(1));
-        service.mul_f64(turns)
+        let rounds = (ahead + 1) as f64 / f64::from(self.capacity.max(1));
+        service.mul_f64(rounds)
     }
 
-    fn enqueue(&mut self, ticket: QueueEntry) {
+    fn enqueue(&mut self, entry: QueueEntry) {
         self.arrivals += 1;
         let finish = match self.policy {
             QueuePolicy::Fifo => self.arrivals,
-            QueuePolicy::WeightedFair => self.next_finish(&ticket),
+            QueuePolicy::WeightedFair => self.next_finish(&entry),
         };
         let priority = match self.policy {
             QueuePolicy::Fifo => Priority::High,
-            QueuePolicy::WeightedFair => ticket.priority,
+            QueuePolicy::WeightedFair => entry.priority,
         };
         let key = QueueKey {
             priority,
             finish,
-            latest_start: ticket.latest_start,
+            latest_start: entry.latest_start,
             arrival: self.arrivals,
-            id: ticket.id,
+            id: entry.id,
         };
         self.order.insert(key);
-        self.deadlines.insert((ticket.latest_start, ticket.id));
-        self.queued.insert(ticket.id, (key, ticket.latest_start));
+        self.latest_starts.insert((entry.latest_start, entry.id));
+        self.queued.insert(entry.id, (key, entry.latest_start));
         self.queued_by_priority[priority.index()] += 1;
     }
 
-    fn next_finish(&mut self, ticket: &QueueEntry) -> u64 {
-        let cost = UNIT / u64::from(ticket.weight.max(1));
-        let last = self.finish.entry(ticket.customer).or_insert(0);
-        *last = (*last).max(self.virtual_now) + cost;
+    fn next_finish(&mut self, entry: &QueueEntry) -> u64 {
+        let cost = ENTRY_COST / u64::from(entry.weight.max(1));
+        let last = self.last_finish.entry(entry.customer).or_insert(0);
+        *last = (*last).max(self.virtual_time) + cost;
         *last
     }
 
-    fn forget(&mut self, key: QueueKey) {
-        if let Some((_, latest)) = self.queued.remove(&key.id) {
-            self.deadlines.remove(&(latest, key.id));
+    fn remove_indexes(&mut self, key: QueueKey) {
+        if let Some((_, latest_start)) = self.queued.remove(&key.id) {
+            self.latest_starts.remove(&(latest_start, key.id));
         }
         self.queued_by_priority[key.priority.index()] -= 1;
         if self.queued.is_empty() {
-            // An idle queue owes nobody anything; starting over keeps the map
-            // of finish times from growing with customers long gone.
-            self.finish.clear();
-            self.virtual_now = 0;
+            // Fairness does not depend on history once the queue is empty. Resetting the
+            // finish times keeps the map from growing with customers that no longer call.
+            self.last_finish.clear();
+            self.virtual_time = 0;
         }
     }
 }
--- a/crates/policy/src/connection_monitor.rs
+++ b/crates/policy/src/connection_monitor.rs
@@ -1,88 +1,89 @@
-//! Which connections have gone silent.
+//! Detection of connections that have stopped responding.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use jd_types::MonoTime;
 
-/// A connection's number; later ones have higher numbers.
+/// Identifies a connection. Connections opened later have higher numbers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionKey(pub u64);
 
-/// Watches the connections to one upstream.
+/// Tracks activity on the connections to one upstream.
 ///
-/// Guards against the connection that something between the ends has lost
-/// track of: requests on it get no answer and no error, for good, while new
-/// connections work. It shows as silence with a request outstanding. Whatever
-/// forgot that connection has likely forgotten those opened before it, so the
-/// older ones are retired with it; blaming the upstream instead would eject a
-/// healthy one.
+/// A middlebox such as a NAT or load balancer can drop its state for a connection.
+/// Requests on that connection then get neither a response nor an error, while new
+/// connections work. The symptom is a connection with an outstanding request on which
+/// nothing is received. A middlebox that lost one connection has probably lost the
+/// older ones too, so these are retired with it. Treating the silence as a failure of
+/// the upstream would eject a healthy upstream.
 #[derive(Debug, Default)]
 pub struct ConnectionMonitor {
-    open: BTreeMap<ConnectionKey, Progress>,
+    open: BTreeMap<ConnectionKey, Activity>,
     last_key: u64,
 }
 
 #[derive(Debug)]
-struct Progress {
+struct Activity {
     outstanding: u32,
-    last: MonoTime,
+    last_active: MonoTime,
 }
 
 impl ConnectionMonitor {
-    /// A connection was opened.
+    /// Registers a newly opened connection.
     pub fn opened(&mut self, now: MonoTime) -> ConnectionKey {
         self.last_key += 1;
         let key = ConnectionKey(self.last_key);
         self.open.insert(
             key,
-            Progress {
+            Activity {
                 outstanding: 0,
-                last: now,
+                last_active: now,
             },
         );
         key
     }
 
-    /// A request went out on it.
+    /// Records that a request was sent on the connection.
     pub fn sent(&mut self, now: MonoTime, key: ConnectionKey) {
-        if let Some(p) = self.open.get_mut(&key) {
-            p.outstanding += 1;
-            p.last = now;
+        if let Some(activity) = self.open.get_mut(&key) {
+            activity.outstanding += 1;
+            activity.last_active = now;
         }
     }
 
-    /// Something came back on it; `done` if that ends the request.
+    /// Records that data was received on the connection. `done` is true if it completed
+    /// the response.
     pub fn received(&mut self, now: MonoTime, key: ConnectionKey, done: bool) {
-        if let Some(p) = self.open.get_mut(&key) {
-            p.last = now;
-            p.outstanding -= u32::from(done && p.outstanding > 0);
+        if let Some(activity) = self.open.get_mut(&key) {
+            activity.last_active = now;
+            activity.outstanding -= u32::from(done && activity.outstanding > 0);
         }
     }
 
-    /// A connection was closed.
+    /// Removes a closed connection.
     pub fn closed(&mut self, key: ConnectionKey) {
         self.open.remove(&key);
     }
 
-    /// Retires a connection on which nothing has been heard for `patience`
-    /// with a request outstanding, and every older one that has not been heard
-    /// since that request went out. Returns those to close; none if it is fine.
+    /// Retires a connection that has a request outstanding and no activity for `timeout`,
+    /// together with every older connection without activity since then. Returns the
+    /// connections to close, or none if the connection is still active.
     pub fn retire_silent(
         &mut self,
         now: MonoTime,
         key: ConnectionKey,
-        patience: Duration,
+        timeout: Duration,
     ) -> Vec<ConnectionKey> {
         let silent_since = match self.open.get(&key) {
-            Some(p) if p.outstanding > 0 && now.since(p.last) >= patience => p.last,
+            Some(a) if a.outstanding > 0 && now.since(a.last_active) >= timeout => a.last_active,
             _ => return Vec::new(),
         };
-        let stale = |k: &ConnectionKey, p: &Progress| *k <= key && p.last <= silent_since;
+        let stale = |k: &ConnectionKey, a: &Activity| *k <= key && a.last_active <= silent_since;
         let retired: Vec<ConnectionKey> = self
             .open
             .iter()
-            .filter(|(k, p)| stale(k, p))
+            .filter(|(k, a)| stale(k, a))
             .map(|(k, _)| *k)
             .collect();
         for key in &retired {
--- a/crates/policy/src/cost_ledger.rs
+++ b/crates/policy/src/cost_ledger.rs
@@ -1,4 +1,4 @@
-//! What each stage cost, and for whom.
+//! Cost accounting by customer, pipeline and stage.
 
 use std::collections::BTreeMap;
 
@@ -7,42 +7,42 @@
 use jd_types::AttemptOutcome;
 use jd_types::Name;
 
-/// One attempt's cost. Every attempt leaves exactly one line.
+/// The cost of one attempt. Every attempt is recorded exactly once.
 #[derive(Debug, Clone)]
 pub struct AttemptCost {
     /// The attempt.
     pub attempt: AttemptId,
-    /// Whose request.
+    /// The customer that sent the request.
     pub customer: Name,
     /// The pipeline.
     pub pipeline: Name,
-    /// The upstream that worked.
+    /// The upstream that processed the attempt.
     pub upstream: CompactString,
-    /// Units that the upstream reported; 0 if it reported none.
+    /// Units reported by the upstream, or 0 if it reported none.
     pub units: u64,
-    /// Time that the upstream was held, in microseconds.
+    /// Time for which the attempt occupied the upstream, in microseconds.
     pub held_us: u64,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: AttemptOutcome,
 }
 
-/// Sums over attempts.
+/// Totals over a number of attempts.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct CostTotals {
-    /// Attempts.
+    /// Number of attempts.
     pub attempts: u64,
-    /// Units of attempts whose answer was used.
+    /// Units of attempts whose response was used.
     pub used_units: u64,
-    /// Units of attempts whose answer was not.
+    /// Units of attempts whose response was not used.
     pub wasted_units: u64,
-    /// Microseconds of attempts whose answer was used.
+    /// Microseconds of attempts whose response was used.
     pub used_us: u64,
-    /// Microseconds of attempts whose answer was not.
+    /// Microseconds of attempts whose response was not used.
     pub wasted_us: u64,
 }
 
 impl CostTotals {
-    /// Adds another sum to this one.
+    /// Adds `other` to these totals.
     pub fn merge(&mut self, other: CostTotals) {
         self.attempts += other.attempts;
         self.used_units += other.used_units;
@@ -51,64 +51,70 @@
         self.wasted_us += other.wasted_us;
     }
 
-    fn add(&mut self, line: &AttemptCost, used: bool) {
+    fn add(&mut self, cost: &AttemptCost, used: bool) {
         self.attempts += 1;
         match used {
             true => {
-                self.used_units += line.units;
-                self.used_us += line.held_us;
+                self.used_units += cost.units;
+                self.used_us += cost.held_us;
             }
             false => {
-                self.wasted_units += line.units;
-                self.wasted_us += line.held_us;
+                self.wasted_units += cost.units;
+                self.wasted_us += cost.held_us;
             }
         }
     }
 }
 
-/// What a sum is for. Names and not keys of an arena, since a sum outlives the
-/// revision of the configuration that it began under.
+/// The customer, pipeline and stage that totals are kept for.
+///
+/// Holds names rather than configuration keys, because keys are valid for one
+/// configuration revision only and totals are kept across revisions.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CostKey {
-    /// Whose requests.
+    /// The customer that sent the requests.
     pub customer: Name,
     /// The pipeline.
     pub pipeline: Name,
-    /// The stage's place in the pipeline, from 0.
+    /// Index of the stage in the pipeline, from 0.
     pub stage: u8,
 }
 
-/// Cost by customer, pipeline and stage. The cells are sums of the lines, so
-/// they add up to the total exactly, which is what a bill is disputed by.
+/// Cost totals by customer, pipeline and stage.
+///
+/// The totals of all keys add up exactly to the grand total, so that a disputed bill can
+/// be checked.
 #[derive(Debug, Default)]
 pub struct CostLedger {
     by_key: BTreeMap<CostKey, CostTotals>,
-    total: CostTotals,
+    grand_total: CostTotals,
 }
 
 impl CostLedger {
-    /// Enters the lines of one finished request. `answered` says whether its
-    /// caller got the whole answer: if not, even its answered stages are waste.
-    pub fn record(&mut self, lines: &[AttemptCost], answered: bool) {
-        for line in lines {
-            let used = answered && line.outcome == AttemptOutcome::Answered;
+    /// Records the attempts of one finished request.
+    ///
+    /// `answered` is true if the caller received the complete response. If it is false,
+    /// the cost of answered stages counts as wasted too.
+    pub fn record(&mut self, costs: &[AttemptCost], answered: bool) {
+        for cost in costs {
+            let used = answered && cost.outcome == AttemptOutcome::Answered;
             let key = CostKey {
-                customer: line.customer.clone(),
-                pipeline: line.pipeline.clone(),
-                stage: line.attempt.stage,
+                customer: cost.customer.clone(),
+                pipeline: cost.pipeline.clone(),
+                stage: cost.attempt.stage,
             };
-            self.by_key.entry(key).or_default().add(line, used);
-            self.total.add(line, used);
+            self.by_key.entry(key).or_default().add(cost, used);
+            self.grand_total.add(cost, used);
         }
     }
 
-    /// Every cell, in order of its key.
+    /// The totals of each key, ordered by key.
     pub fn totals_by_key(&self) -> impl Iterator<Item = (&CostKey, CostTotals)> {
-        self.by_key.iter().map(|(key, cell)| (key, *cell))
+        self.by_key.iter().map(|(key, totals)| (key, *totals))
     }
 
-    /// The sum of all lines.
+    /// The totals over all attempts.
     pub fn grand_total(&self) -> CostTotals {
-        self.total
+        self.grand_total
     }
 }
--- a/crates/policy/src/latency_estimate.rs
+++ b/crates/policy/src/latency_estimate.rs
@@ -1,19 +1,19 @@
-//! How long a stage takes, learned from its answers.
+//! Running estimate of a latency.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// Weight of a new sample is 1 in 2^SHIFT.
+/// A new sample has a weight of 1 in 2^`MEAN_SHIFT` in the mean.
 const MEAN_SHIFT: u32 = 4;
-/// Same for the deviation.
+/// A new sample has a weight of 1 in 2^`DEVIATION_SHIFT` in the deviation.
 const DEVIATION_SHIFT: u32 = 3;
 
-/// A running mean and mean deviation of a duration, in the manner of TCP's
-/// round-trip estimator.
+/// A moving average and mean deviation of a duration, computed like TCP's round-trip
+/// time estimator.
 ///
-/// Kept in atomics without a lock. Two threads that update at once may lose
-/// one of the samples, which an average can bear.
+/// The values are atomics that are updated without a lock. If two threads record at the
+/// same time, one sample may be lost, which is acceptable for an average.
 #[derive(Debug, Default)]
 pub struct LatencyEstimate {
     mean_us: AtomicU64,
@@ -21,7 +21,7 @@
 }
 
 impl LatencyEstimate {
-    /// An estimate that starts from a guess; it counts as one sample.
+    /// Creates an estimate from an initial value, which counts as one sample.
     pub fn with_initial(initial: Duration) -> LatencyEstimate {
         let us = as_us(initial);
         LatencyEstimate {
@@ -30,9 +30,9 @@
         }
     }
 
-    /// Takes a sample into account.
-    pub fn record(&self, took: Duration) {
-        let sample = as_us(took);
+    /// Records a sample.
+    pub fn record(&self, duration: Duration) {
+        let sample = as_us(duration);
         let mean = self.mean_us.load(Ordering::Relaxed);
         if mean == 0 {
             self.mean_us.store(sample, Ordering::Relaxed);
@@ -40,30 +40,32 @@
             return;
         }
         let deviation = self.deviation_us.load(Ordering::Relaxed);
-        let off = sample.abs_diff(mean);
-        self.deviation_us
-            .store(step(deviation, off, DEVIATION_SHIFT), Ordering::Relaxed);
+        let difference = sample.abs_diff(mean);
+        self.deviation_us.store(
+            moving_average(deviation, difference, DEVIATION_SHIFT),
+            Ordering::Relaxed,
+        );
         self.mean_us
-            .store(step(mean, sample, MEAN_SHIFT), Ordering::Relaxed);
+            .store(moving_average(mean, sample, MEAN_SHIFT), Ordering::Relaxed);
     }
 
-    /// The mean; zero before the first sample.
+    /// The mean, or zero before the first sample.
     pub fn mean(&self) -> Duration {
         Duration::from_micros(self.mean_us.load(Ordering::Relaxed))
     }
 
     /// The mean plus `count` mean deviations.
     pub fn mean_plus_deviations(&self, count: u32) -> Duration {
-        let spread = Duration::from_micros(self.deviation_us.load(Ordering::Relaxed));
-        self.mean() + spread * count
+        let deviation = Duration::from_micros(self.deviation_us.load(Ordering::Relaxed));
+        self.mean() + deviation * count
     }
 }
 
-fn step(old: u64, new: u64, shift: u32) -> u64 {
+fn moving_average(old: u64, new: u64, shift: u32) -> u64 {
     old - (old >> shift) + (new >> shift)
 }
 
 fn as_us(d: Duration) -> u64 {
-    // Keep clear of zero, which stands for "no sample yet".
+    // At least 1, because zero means that there is no sample yet.
     u64::try_from(d.as_micros()).unwrap_or(u64::MAX).max(1)
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,9 +1,9 @@
-//! What one instance decides about one request.
+//! Request-level policy of one instance: admission, queueing, routing, retries and cost.
 //!
-//! Everything here is either a state machine that takes the time and an event
-//! and returns what to do, or a table that is read without locks. Nothing reads
-//! a clock, a socket or a global source of random numbers, so the daemon, the
-//! experiments in virtual time and the tests run the very same decisions.
+//! Each type is either a state machine that takes the current time and an event and
+//! returns an action, or a table that is read without locks. Nothing here reads a clock,
+//! a socket or a global random number generator, so that the daemon, the simulations in
+//! virtual time and the tests run the same code.
 
 mod admission;
 mod admission_queue;
--- a/crates/policy/src/peer_loads.rs
+++ b/crates/policy/src/peer_loads.rs
@@ -1,12 +1,12 @@
-//! What other instances have in flight at each upstream, added up.
+//! In-flight requests of other instances at each upstream.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
 use jd_types::Incarnation;
 
-/// What each other instance said last of its requests at upstreams, and the
-/// sums over all of them.
+/// The latest in-flight counts that each other instance reported for its upstreams, and
+/// their sums over all instances.
 #[derive(Debug, Default)]
 pub struct PeerLoads {
     by_peer: HashMap<Incarnation, HashMap<SocketAddr, u32>>,
@@ -14,8 +14,8 @@
 }
 
 impl PeerLoads {
-    /// Replaces what `peer` said; returns the new sum of every upstream that
-    /// this concerns.
+    /// Replaces the counts reported by `peer`. Returns the new sum of every upstream that
+    /// the old or the new report contains.
     pub fn replace(
         &mut self,
         peer: Incarnation,
@@ -28,15 +28,15 @@
         for (address, load) in &loads {
             *self.sums.entry(*address).or_insert(0) += load;
         }
-        let fresh = loads.keys().filter(|a| !old.contains_key(*a));
-        let concerned = old.keys().chain(fresh);
+        let added = loads.keys().filter(|a| !old.contains_key(*a));
+        let changed = old.keys().chain(added);
         let sum = |a: &SocketAddr| (*a, self.sums.get(a).copied().unwrap_or(0));
-        let out = concerned.map(sum).collect();
+        let updated = changed.map(sum).collect();
         self.by_peer.insert(peer, loads);
-        out
+        updated
     }
 
-    /// Forgets a peer that is gone.
+    /// Removes a peer that is gone, and its counts.
     pub fn remove(&mut self, peer: Incarnation) {
         self.replace(peer, HashMap::new());
         self.by_peer.remove(&peer);
--- a/crates/policy/src/pipeline_run.rs
+++ b/crates/policy/src/pipeline_run.rs
@@ -1,4 +1,4 @@
-//! One request on its way through its pipeline.
+//! State machine of one request passing through the stages of its pipeline.
 
 use std::time::Duration;
 
@@ -16,77 +16,79 @@
 
 use crate::RetryBudget;
 
-/// The most attempts at one stage.
+/// Maximum number of attempts at one stage.
 const MAX_ATTEMPTS: u8 = 3;
-/// An idempotent attempt is given up for silence after its mean plus this many
+/// An attempt at an idempotent stage times out after the mean latency plus this many
 /// mean deviations.
 const TIMEOUT_DEVIATIONS: u32 = 8;
-/// The least patience with an attempt.
-const MIN_PATIENCE: Duration = Duration::from_millis(100);
-/// When to come back after a failure that was nobody's overload.
+/// Minimum timeout of an attempt.
+const MIN_TIMEOUT: Duration = Duration::from_millis(100);
+/// Retry delay given to callers after a failure that is not due to overload.
 const RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// What is expected of one stage now.
+/// Current latency estimates of one stage.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct StageTiming {
-    /// The mean time of an attempt.
+    /// Mean latency of an attempt.
     pub mean: Duration,
     /// The mean plus [`PipelineRun::TIMEOUT_DEVIATIONS`] deviations.
     pub timeout: Duration,
 }
 
-/// What to do next for a request.
+/// The next action for a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RunStep {
-    /// Get a slot, choose an upstream and send.
+    /// Acquire a slot, choose an upstream and send the attempt.
     Dispatch {
-        /// The attempt; the answer must name it.
+        /// The attempt, which the response must identify.
         attempt: AttemptId,
-        /// The last moment at which starting makes sense.
+        /// The latest time at which the attempt can start and still meet the deadline.
         latest_start: MonoTime,
-        /// How long to wait for it once it is sent.
+        /// How long to wait for the response once the attempt is sent.
         timeout: Duration,
     },
-    /// Ask an upstream whether the key has run; the attempt's answer was lost.
+    /// Query the upstream for whether the request with this key ran, because the response
+    /// to the attempt was lost.
     LookUp {
-        /// The attempt whose fate is unknown.
+        /// The attempt whose outcome is unknown.
         attempt: AttemptId,
     },
-    /// The request is over.
+    /// The request has ended.
     End(RunEnd),
 }
 
-/// How a request is over.
+/// How a request ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RunEnd {
-    /// Every stage has answered.
+    /// Every stage was answered.
     Answered,
-    /// There is no answer.
+    /// The request was refused and has no response.
     Refused(Refusal),
 }
 
-/// One request on its way through its pipeline: which stage, which attempt, and
-/// what can be said truthfully if it ends here.
+/// One request passing through the stages of its pipeline.
 ///
-/// Owned by the task that serves the request, so it needs no lock.
+/// Tracks the current stage, the current attempt, and whether any upstream may have run
+/// the request, which a refusal must report correctly. Owned by the task that serves the
+/// request, so it needs no lock.
 #[derive(Debug)]
 pub struct PipelineRun {
     request: RequestId,
     deadline: MonoTime,
     stages: Vec<CompiledStage>,
     timings: Vec<StageTiming>,
-    at: usize,
+    stage_index: usize,
     attempt: u8,
     tried: Vec<UpstreamKey>,
     state: RunState,
-    waiting: Option<AttemptId>,
+    outstanding: Option<AttemptId>,
 }
 
 impl PipelineRun {
-    /// Deviations in [`StageTiming::timeout`].
+    /// Number of mean deviations in [`StageTiming::timeout`].
     pub const TIMEOUT_DEVIATIONS: u32 = TIMEOUT_DEVIATIONS;
 
-    /// A request that has not started. `timings` has one entry for each stage.
+    /// Creates a run that has not started. `timings` has one entry for each stage.
     pub fn new(
         request: RequestId,
         deadline: MonoTime,
@@ -98,30 +100,30 @@
             deadline,
             stages,
             timings,
-            at: 0,
+            stage_index: 0,
             attempt: 0,
             tried: Vec::new(),
             state: RunState::NotRun,
-            waiting: None,
+            outstanding: None,
         }
     }
 
-    /// The stage that is to be done now; none at the end.
+    /// The current stage, or none if all stages are done.
     pub fn stage(&self) -> Option<CompiledStage> {
-        self.stages.get(self.at).copied()
+        self.stages.get(self.stage_index).copied()
     }
 
-    /// Upstreams that the present stage has tried.
+    /// Upstreams that were tried for the current stage.
     pub fn tried(&self) -> &[UpstreamKey] {
         &self.tried
     }
 
-    /// Whether anything can have run so far.
+    /// Whether an upstream may have run any part of the request so far.
     pub fn state(&self) -> RunState {
         self.state
     }
 
-    /// The first step, or the next stage's.
+    /// Starts the current stage, or ends the request if all stages are done.
     pub fn start(&mut self, now: MonoTime) -> RunStep {
         match self.stage() {
             None => RunStep::End(RunEnd::Answered),
@@ -129,28 +131,29 @@
         }
     }
 
-    /// An attempt goes out to `upstream`: from here on it may run.
+    /// Records that an attempt is sent to `upstream`, which may run it from now on.
     pub fn attempt_sent(&mut self, upstream: UpstreamKey) {
         self.tried.push(upstream);
     }
 
-    /// No slot or no upstream could be had for the present attempt.
+    /// Ends the request because no slot or upstream was available for the current attempt.
     pub fn attempt_not_sent(
         &mut self,
         kind: RefusalKind,
         detail: &str,
         after: Option<Duration>,
     ) -> RunStep {
-        self.waiting = None;
+        self.outstanding = None;
         self.refuse(kind, detail, after)
     }
 
-    /// An attempt ended. One that is not waited for any more changes nothing.
+    /// Handles the end of an attempt. Returns none if the attempt is not the outstanding
+    /// one.
     ///
-    /// Guards against late and crossed answers: after a retry the first
-    /// attempt's answer still comes, or one connection's answers come in
-    /// another order. Only the attempt in `waiting` can move the request, so
-    /// neither can stand in for another's answer or advance a stage twice.
+    /// The response to a first attempt can arrive after a retry was sent, and responses on
+    /// one connection can arrive out of order. Only the outstanding attempt changes the
+    /// state, so that such a response is neither taken for that of another attempt nor
+    /// advances the request by two stages.
     pub fn attempt_ended(
         &mut self,
         now: MonoTime,
@@ -158,19 +161,19 @@
         outcome: AttemptOutcome,
         budget: &RetryBudget,
     ) -> Option<RunStep> {
-        if self.waiting != Some(attempt) {
+        if self.outstanding != Some(attempt) {
             return None;
         }
-        self.waiting = None;
+        self.outstanding = None;
         Some(self.step_after(now, attempt, outcome, budget))
     }
 
-    /// The upstream told whether the key ran. `None`: it could not be asked.
+    /// Handles the result of a lookup. `ran` is none if the upstream could not be queried.
     pub fn lookup_finished(&mut self, now: MonoTime, ran: Option<bool>) -> RunStep {
         match ran {
             Some(true) => self.advance(now),
-            // Proved not run, yet not tried again: the first call may still be
-            // on its way to the upstream, behind the look-up.
+            // `Some(false)` is not retried either: the attempt may still be in transit and
+            // reach the upstream after the lookup.
             Some(false) | None => self.refuse(
                 RefusalKind::UpstreamFailed,
                 "the answer was lost and the upstream does not vouch for it",
@@ -192,8 +195,8 @@
         let stage = self.stage();
         let idempotent = stage.is_some_and(|s| s.idempotent);
         let lookup = stage.is_some_and(|s| s.lookup);
-        let harmless = idempotent || outcome.run_state() == RunState::NotRun;
-        let expected = self.expected_rest();
+        let safe_to_retry = idempotent || outcome.run_state() == RunState::NotRun;
+        let expected = self.expected_remaining();
         match outcome {
             AttemptOutcome::Answered => self.advance(now),
             AttemptOutcome::Cancelled => {
@@ -202,8 +205,8 @@
             _ if now >= self.deadline => {
                 self.refuse(RefusalKind::DeadlinePassed, outcome.as_str(), None)
             }
-            _ if !harmless && lookup => RunStep::LookUp { attempt },
-            _ if !harmless => self.failed(attempt, outcome, "it must not run twice"),
+            _ if !safe_to_retry && lookup => RunStep::LookUp { attempt },
+            _ if !safe_to_retry => self.failed(attempt, outcome, "it must not run twice"),
             _ if self.attempt >= MAX_ATTEMPTS => self.failed(attempt, outcome, "no tries left"),
             _ if now + expected > self.deadline => self.failed(attempt, outcome, "no time left"),
             _ if !budget.withdraw() => {
@@ -214,7 +217,7 @@
     }
 
     fn advance(&mut self, now: MonoTime) -> RunStep {
-        self.at += 1;
+        self.stage_index += 1;
         self.attempt = 0;
         self.tried.clear();
         self.start(now)
@@ -222,14 +225,14 @@
 
     fn dispatch(&mut self, now: MonoTime) -> RunStep {
         self.attempt += 1;
-        let stage = u8::try_from(self.at).unwrap_or(u8::MAX);
+        let stage = u8::try_from(self.stage_index).unwrap_or(u8::MAX);
         let attempt = AttemptId {
             request: self.request,
             stage,
             attempt: self.attempt,
         };
-        self.waiting = Some(attempt);
-        let latest_start = self.deadline.before(self.expected_rest());
+        self.outstanding = Some(attempt);
+        let latest_start = self.deadline.before(self.expected_remaining());
         RunStep::Dispatch {
             attempt,
             latest_start,
@@ -237,21 +240,31 @@
         }
     }
 
-    /// How long to wait for an attempt. One that must not be repeated has all
-    /// the time there is: giving up early gains nothing and loses the answer.
+    /// The timeout of the current attempt.
+    ///
+    /// An attempt that cannot be retried gets all the time left: timing out early would
+    /// lose its response without any benefit.
     fn attempt_timeout(&self, now: MonoTime) -> Duration {
         let left = self.deadline.since(now);
-        let timing = self.timings.get(self.at).copied().unwrap_or_default();
+        let timing = self
+            .timings
+            .get(self.stage_index)
+            .copied()
+            .unwrap_or_default();
         match self.stage() {
             Some(s) if s.idempotent && self.attempt < MAX_ATTEMPTS && !timing.mean.is_zero() => {
-                timing.timeout.max(MIN_PATIENCE).min(left)
+                timing.timeout.max(MIN_TIMEOUT).min(left)
             }
             _ => left,
         }
     }
 
-    fn expected_rest(&self) -> Duration {
-        self.timings.iter().skip(self.at).map(|t| t.mean).sum()
+    fn expected_remaining(&self) -> Duration {
+        self.timings
+            .iter()
+            .skip(self.stage_index)
+            .map(|t| t.mean)
+            .sum()
     }
 
     fn failed(&self, attempt: AttemptId, outcome: AttemptOutcome, why: &str) -> RunStep {
--- a/crates/policy/src/pool_table.rs
+++ b/crates/policy/src/pool_table.rs
@@ -1,4 +1,4 @@
-//! The upstreams of one pool and the choice among them.
+//! The upstreams of one pool, and the choice of an upstream for a request.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -16,35 +16,35 @@
 use crate::RoutingPolicy;
 use crate::Upstream;
 
-/// Ejections are ignored when they would leave less than one in this many.
-const EJECTION_FLOOR: usize = 2;
-/// How much slower an upstream of another hall has to be to be passed over.
-const FAR_PENALTY: f64 = 1.25;
-/// How often the pool as a whole is looked at.
-const CENSUS_EVERY: Duration = Duration::from_millis(100);
-/// The part of all slots that may be asked for beyond them: one in this many.
-const SURPLUS: u32 = 4;
-/// Random draws before all upstreams are looked through.
-const DRAWS: usize = 8;
-/// Places of one upstream on the ring of prefixes.
-const PLACES: u64 = 16;
-/// Places on the ring that one prefix may move on from busy upstreams.
-const MOVES: usize = 48;
-/// Owners of a prefix that are compared when all are busy.
-const BUSY_OWNERS: usize = 4;
-/// Loads are kept in thousandths.
-const THOUSAND: f64 = 1_000.0;
-/// How far above the pool's mean load the upstream of a prefix may be.
-const AFFINITY_SLACK: f64 = 1.25;
+/// Ejections are ignored while they would leave fewer than one in this many upstreams.
+const MIN_HEALTHY_DIVISOR: usize = 2;
+/// Factor applied to the score of upstreams in other availability zones.
+const REMOTE_ZONE_PENALTY: f64 = 1.25;
+/// Interval at which statistics over the whole pool are updated.
+const STATS_INTERVAL: Duration = Duration::from_millis(100);
+/// In-flight requests may exceed the number of slots by one in this many.
+const OVERCOMMIT_DIVISOR: u32 = 4;
+/// Random draws before all upstreams are scanned.
+const MAX_DRAWS: usize = 8;
+/// Virtual nodes of each upstream on the hash ring.
+const VIRTUAL_NODES: u64 = 16;
+/// Virtual nodes examined for one prefix while the upstreams before them are busy.
+const MAX_RING_PROBES: usize = 48;
+/// Upstreams that are compared for a prefix when all upstreams are busy.
+const MAX_OWNERS: usize = 4;
+/// The mean load is stored in thousandths.
+const LOAD_SCALE: f64 = 1_000.0;
+/// Maximum load of the upstream of a prefix, relative to the mean load of the pool.
+const AFFINITY_LOAD_FACTOR: f64 = 1.25;
 
-/// What a choice is made for.
+/// The request that an upstream is chosen for.
 #[derive(Debug, Clone, Copy)]
 pub struct PickRequest<'a> {
-    /// The hall of the instance that chooses.
+    /// The availability zone of the instance that makes the choice.
     pub zone: &'a Name,
-    /// A hash of the prompt's prefix, where the pool's engines cache prefixes.
+    /// Hash of the prompt prefix, if the engines of the pool cache prefixes.
     pub affinity: Option<u64>,
-    /// Upstreams that this stage has tried already.
+    /// Upstreams that were already tried for this stage.
     pub exclude: &'a [UpstreamKey],
 }
 
@@ -55,65 +55,68 @@
     pub key: UpstreamKey,
     /// The upstream.
     pub upstream: Arc<Upstream>,
-    /// How many upstreams the pool has.
+    /// Number of upstreams in the pool.
     pub pool_size: usize,
-    /// True if the prefix decided.
+    /// True if the upstream was chosen by prefix affinity.
     pub by_affinity: bool,
 }
 
-/// The upstreams of one pool. A new table is made when the list changes and
-/// swapped in whole; the entries themselves live on from table to table.
+/// The upstreams of one pool.
 ///
-/// A choice looks at a few upstreams only, so its cost does not grow with the
-/// pool. What needs all of them is counted ten times a second.
+/// When the list of upstreams changes, a new table replaces the old one as a whole. The
+/// [`Upstream`] values are shared between tables and keep their state.
+///
+/// A choice examines only a few upstreams, so that its cost does not grow with the pool.
+/// Statistics over all upstreams are updated ten times a second.
 #[derive(Debug, Default)]
 pub struct PoolTable {
     upstreams: Vec<Arc<Upstream>>,
-    near: Vec<UpstreamKey>,
-    ring: Vec<Place>,
+    local: Vec<UpstreamKey>,
+    ring: Vec<VirtualNode>,
     slots: u32,
-    turn: AtomicUsize,
-    census: Census,
+    next: AtomicUsize,
+    stats: PoolStats,
 }
 
-/// Where an upstream stands on the ring of prefixes.
+/// A position of an upstream on the hash ring.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct Place {
-    at: u64,
+struct VirtualNode {
+    hash: u64,
     key: UpstreamKey,
 }
 
-/// The pool as a whole, as it was at most a tenth of a second ago.
+/// Statistics over the whole pool, at most 0.1 s old.
 #[derive(Debug, Default)]
-struct Census {
-    taken_us: AtomicU64,
+struct PoolStats {
+    updated_us: AtomicU64,
     mean_load: AtomicU64,
     ignore_ejections: AtomicBool,
 }
 
 impl PoolTable {
-    /// A table of `upstreams` with `slots` each, for an instance in `zone`.
+    /// Creates a table of `upstreams` with `slots` each, for an instance in `zone`.
     pub fn new(upstreams: Vec<Arc<Upstream>>, slots: u32, zone: &Name) -> PoolTable {
-        let ring = ring_of(&upstreams);
+        let ring = build_ring(&upstreams);
         PoolTable {
             ring,
             ..PoolTable::without_affinity(upstreams, slots, zone)
         }
     }
 
-    /// The same for choices by load alone. The ring of prefixes, which is not made, takes
-    /// most of the time that a table takes.
+    /// Creates a table without prefix affinity.
+    ///
+    /// The hash ring is not built, which takes most of the time of building a table.
     pub fn without_affinity(upstreams: Vec<Arc<Upstream>>, slots: u32, zone: &Name) -> PoolTable {
         let keyed = (0..).map(UpstreamKey::from_index).zip(&upstreams);
-        let near = keyed.filter(|(_, u)| u.zone == *zone);
-        let near = near.map(|(k, _)| k).collect();
+        let local = keyed.filter(|(_, u)| u.zone == *zone);
+        let local = local.map(|(key, _)| key).collect();
         PoolTable {
             upstreams,
-            near,
+            local,
             ring: Vec::new(),
             slots,
-            turn: AtomicUsize::new(0),
-            census: Census::default(),
+            next: AtomicUsize::new(0),
+            stats: PoolStats::default(),
         }
     }
 
@@ -122,18 +125,20 @@
         &self.upstreams
     }
 
-    /// Requests that all instances together may have at the pool: the slots of
-    /// all upstreams that are not leaving, and a quarter more. Choices are not
-    /// perfect, and with no more than the slots some would always be idle.
+    /// Maximum number of in-flight requests of all instances together: the slots of all
+    /// upstreams that are not leaving, plus a quarter.
+    ///
+    /// Routing is not perfect, so that with exactly the number of slots some of them would
+    /// always be idle.
     pub fn max_in_flight(&self) -> u32 {
-        let staying = self.upstreams.iter().filter(|u| !u.is_leaving()).count();
+        let active = self.upstreams.iter().filter(|u| !u.is_leaving()).count();
         let slots = self
             .slots
-            .saturating_mul(u32::try_from(staying).unwrap_or(u32::MAX));
-        slots.saturating_add(slots / SURPLUS)
+            .saturating_mul(u32::try_from(active).unwrap_or(u32::MAX));
+        slots.saturating_add(slots / OVERCOMMIT_DIVISOR)
     }
 
-    /// Chooses an upstream; none if every one is leaving, tried or gone.
+    /// Chooses an upstream. Returns none if every upstream is leaving, excluded or ejected.
     pub fn pick(
         &self,
         policy: RoutingPolicy,
@@ -141,20 +146,20 @@
         req: &PickRequest<'_>,
         rng: &mut fastrand::Rng,
     ) -> Option<Pick> {
-        self.take_census(now);
+        self.update_stats(now);
         match policy {
-            RoutingPolicy::Random => self.draw(now, req, rng, None),
-            RoutingPolicy::RoundRobin => self.next_in_turn(now, req),
-            RoutingPolicy::LeastOwn => self.least_own(now, req, rng),
-            RoutingPolicy::TwoChoices => match self.by_prefix(now, req) {
-                Some(key) => return Some(self.picked(key, true)),
+            RoutingPolicy::Random => self.random(now, req, rng, None),
+            RoutingPolicy::RoundRobin => self.round_robin(now, req),
+            RoutingPolicy::LeastOwn => self.fewest_in_flight(now, req, rng),
+            RoutingPolicy::TwoChoices => match self.by_affinity(now, req) {
+                Some(key) => return Some(self.pick_of(key, true)),
                 None => self.two_choices(now, req, rng),
             },
         }
-        .map(|key| self.picked(key, false))
+        .map(|key| self.pick_of(key, false))
     }
 
-    fn picked(&self, key: UpstreamKey, by_affinity: bool) -> Pick {
+    fn pick_of(&self, key: UpstreamKey, by_affinity: bool) -> Pick {
         let upstream = Arc::clone(&self.upstreams[key.index()]);
         Pick {
             key,
@@ -164,10 +169,10 @@
         }
     }
 
-    /// True if the upstream may be chosen: not leaving, not tried, not ejected.
+    /// True if the upstream is not leaving, excluded or ejected.
     fn is_allowed(&self, now: MonoTime, req: &PickRequest<'_>, key: UpstreamKey) -> bool {
         let upstream = &self.upstreams[key.index()];
-        let ejected = upstream.is_ejected(now) && !self.census.ignores_ejections();
+        let ejected = upstream.is_ejected(now) && !self.stats.ignores_ejections();
         !upstream.is_leaving() && !ejected && !req.exclude.contains(&key)
     }
 
@@ -176,49 +181,50 @@
         (0..count).map(UpstreamKey::from_index)
     }
 
-    /// Any allowed upstream at random, out of `among` or of all.
-    fn draw(
+    /// Chooses an allowed upstream at random, from `candidates` or from the whole pool.
+    fn random(
         &self,
         now: MonoTime,
         req: &PickRequest<'_>,
         rng: &mut fastrand::Rng,
-        among: Option<&[UpstreamKey]>,
+        candidates: Option<&[UpstreamKey]>,
     ) -> Option<UpstreamKey> {
-        let count = among.map_or(self.upstreams.len(), <[UpstreamKey]>::len);
+        let count = candidates.map_or(self.upstreams.len(), <[UpstreamKey]>::len);
         if count == 0 {
             return None;
         }
-        let at = |i: usize| match among {
+        let key_at = |i: usize| match candidates {
             Some(keys) => keys[i],
             None => UpstreamKey::from_index(u32::try_from(i).unwrap_or(u32::MAX)),
         };
-        let tries = (0..DRAWS).map(|_| at(rng.usize(..count)));
-        let drawn = tries
+        let draws = (0..MAX_DRAWS).map(|_| key_at(rng.usize(..count)));
+        let drawn = draws
             .into_iter()
             .find(|key| self.is_allowed(now, req, *key));
-        // So many misses mean that few are left; they are looked for in turn.
+        // If all draws fail, few upstreams are allowed, and a scan finds them.
         let start = rng.usize(..count);
         drawn.or_else(|| {
-            let rest = (0..count).map(|i| at((start + i) % count));
-            rest.into_iter().find(|key| self.is_allowed(now, req, *key))
+            let scan = (0..count).map(|i| key_at((start + i) % count));
+            scan.into_iter().find(|key| self.is_allowed(now, req, *key))
         })
     }
 
-    fn next_in_turn(&self, now: MonoTime, req: &PickRequest<'_>) -> Option<UpstreamKey> {
+    fn round_robin(&self, now: MonoTime, req: &PickRequest<'_>) -> Option<UpstreamKey> {
         let count = self.upstreams.len();
-        let turns = (0..count).map(|_| self.turn.fetch_add(1, Ordering::Relaxed) % count);
-        let keys = turns.map(|i| UpstreamKey::from_index(u32::try_from(i).unwrap_or(u32::MAX)));
+        let indexes = (0..count).map(|_| self.next.fetch_add(1, Ordering::Relaxed) % count);
+        let keys = indexes.map(|i| UpstreamKey::from_index(u32::try_from(i).unwrap_or(u32::MAX)));
         keys.into_iter().find(|key| self.is_allowed(now, req, *key))
     }
 
-    fn least_own(
+    fn fewest_in_flight(
         &self,
         now: MonoTime,
         req: &PickRequest<'_>,
         rng: &mut fastrand::Rng,
     ) -> Option<UpstreamKey> {
         let allowed = self.keys().filter(|key| self.is_allowed(now, req, *key));
-        // Among equals one at random; the first would get all the first requests.
+        // Ties are broken at random. Otherwise the first upstream of the list would receive
+        // the first requests of every instance.
         allowed.min_by_key(|k| (self.upstreams[k.index()].in_flight(), rng.u32(..)))
     }
 
@@ -228,17 +234,19 @@
         req: &PickRequest<'_>,
         rng: &mut fastrand::Rng,
     ) -> Option<UpstreamKey> {
-        let second = self.draw(now, req, rng, None)?;
-        let first = self.draw(now, req, rng, Some(&self.near)).unwrap_or(second);
+        let second = self.random(now, req, rng, None)?;
+        let first = self
+            .random(now, req, rng, Some(&self.local))
+            .unwrap_or(second);
         let typical = self.typical_latency();
         let score = |key: UpstreamKey| {
             let upstream = &self.upstreams[key.index()];
-            let far = if upstream.zone == *req.zone {
+            let penalty = if upstream.zone == *req.zone {
                 1.0
             } else {
-                FAR_PENALTY
+                REMOTE_ZONE_PENALTY
             };
-            upstream.score(now, self.slots, typical) * far
+            upstream.score(now, self.slots, typical) * penalty
         };
         match score(first) <= score(second) {
             true => Some(first),
@@ -246,8 +254,8 @@
         }
     }
 
-    /// A stand-in latency for upstreams that have not answered yet: that of
-    /// a few that have.
+    /// The latency assumed for upstreams that have not answered yet: the mean of a sample
+    /// of those that have.
     fn typical_latency(&self) -> Duration {
         const SAMPLE: usize = 8;
         let known = self.upstreams.iter().take(SAMPLE).map(|u| u.latency());
@@ -259,32 +267,35 @@
         }
     }
 
-    /// The upstream that a prefix belongs to, or the next on the ring that is
-    /// not busier than others.
+    /// The upstream that owns a prefix, or the next one on the ring whose load is within
+    /// the bound.
     ///
-    /// By consistent hashing with bounded loads: every instance computes the
-    /// same owner from the same list, without an index and without telling each
-    /// other; when an upstream leaves only its own prefixes move; and a popular
-    /// prefix spreads to a second and third upstream, always the same ones.
-    fn by_prefix(&self, now: MonoTime, req: &PickRequest<'_>) -> Option<UpstreamKey> {
+    /// Uses consistent hashing with bounded loads. All instances compute the same owner
+    /// from the same list, without an index and without communication. When an upstream
+    /// leaves, only its own prefixes move. A popular prefix spreads to a second and a third
+    /// upstream, which are always the same.
+    fn by_affinity(&self, now: MonoTime, req: &PickRequest<'_>) -> Option<UpstreamKey> {
         let prefix = spread(req.affinity?);
-        let start = self.ring.partition_point(|place| place.at < prefix);
-        let around = self.ring[start..].iter().chain(&self.ring[..start]);
-        // Rounded, and not one more: every instance adds its own up to the
-        // bound, and a bound of "mean plus one" let nine of them put 27 requests
-        // on an engine with 8 slots.
-        let bound = (self.census.mean_load() * AFFINITY_SLACK).round().max(1.0) as u32;
-        let calm = |key: &UpstreamKey| {
+        let start = self.ring.partition_point(|node| node.hash < prefix);
+        let nodes = self.ring[start..].iter().chain(&self.ring[..start]);
+        // The bound is rounded and has no extra allowance, because each instance can send
+        // up to the bound. With a bound of the mean plus one, nine instances sent 27
+        // requests to an engine with 8 slots.
+        let bound = (self.stats.mean_load() * AFFINITY_LOAD_FACTOR)
+            .round()
+            .max(1.0) as u32;
+        let has_capacity = |key: &UpstreamKey| {
             self.upstreams[key.index()].in_flight() < bound && self.is_allowed(now, req, *key)
         };
-        let owners = || around.clone().take(MOVES).map(|place| place.key);
+        let owners = || nodes.clone().take(MAX_RING_PROBES).map(|node| node.key);
         owners()
-            .find(calm)
+            .find(has_capacity)
             .or_else(|| self.least_loaded_owner(now, req, owners(), bound))
     }
 
-    /// When all are busy: of the prefix's first few owners the least busy, if
-    /// it has little more than others. A random one would not have the prefix.
+    /// The least loaded of the first few upstreams for a prefix, if its load does not exceed
+    /// the bound. Used when all upstreams are busy, because a random upstream would not have
+    /// the prefix in its cache.
     fn least_loaded_owner(
         &self,
         now: MonoTime,
@@ -292,71 +303,73 @@
         owners: impl Iterator<Item = UpstreamKey>,
         bound: u32,
     ) -> Option<UpstreamKey> {
-        let mut few: Vec<UpstreamKey> = Vec::with_capacity(BUSY_OWNERS);
+        let mut candidates: Vec<UpstreamKey> = Vec::with_capacity(MAX_OWNERS);
         for key in owners.filter(|key| self.is_allowed(now, req, *key)) {
-            if !few.contains(&key) {
-                few.push(key);
+            if !candidates.contains(&key) {
+                candidates.push(key);
             }
-            if few.len() == BUSY_OWNERS {
+            if candidates.len() == MAX_OWNERS {
                 break;
             }
         }
-        let least = few
+        let least = candidates
             .into_iter()
             .min_by_key(|k| self.upstreams[k.index()].in_flight())?;
         (self.upstreams[least.index()].in_flight() <= bound).then_some(least)
     }
 
-    fn take_census(&self, now: MonoTime) {
-        if self.census.is_due(now) {
-            let staying = || self.upstreams.iter().filter(|u| !u.is_leaving());
-            let count = staying().count();
-            let fit = staying().filter(|u| !u.is_ejected(now)).count();
-            let load: u64 = staying().map(|u| u64::from(u.in_flight())).sum();
-            self.census.set(count, fit, load);
+    fn update_stats(&self, now: MonoTime) {
+        if self.stats.is_due(now) {
+            let active = || self.upstreams.iter().filter(|u| !u.is_leaving());
+            let count = active().count();
+            let healthy = active().filter(|u| !u.is_ejected(now)).count();
+            let load: u64 = active().map(|u| u64::from(u.in_flight())).sum();
+            self.stats.set(count, healthy, load);
         }
     }
 }
 
-fn ring_of(upstreams: &[Arc<Upstream>]) -> Vec<Place> {
+fn build_ring(upstreams: &[Arc<Upstream>]) -> Vec<VirtualNode> {
     let keyed = (0..).map(UpstreamKey::from_index).zip(upstreams);
-    let places = |(key, u): (UpstreamKey, &Arc<Upstream>)| {
+    let nodes = |(key, u): (UpstreamKey, &Arc<Upstream>)| {
         let base = spread_address(u.address);
-        (0..PLACES).map(move |n| Place {
-            at: spread(base ^ spread(n)),
+        (0..VIRTUAL_NODES).map(move |n| VirtualNode {
+            hash: spread(base ^ spread(n)),
             key,
         })
     };
-    let mut ring: Vec<Place> = keyed.flat_map(places).collect();
+    let mut ring: Vec<VirtualNode> = keyed.flat_map(nodes).collect();
     ring.sort_unstable();
     ring
 }
 
-impl Census {
-    /// True for one caller each time it is due.
+impl PoolStats {
+    /// True for exactly one caller each time an update is due.
     fn is_due(&self, now: MonoTime) -> bool {
-        let taken = self.taken_us.load(Ordering::Relaxed);
-        let due = taken == 0 || now.since(MonoTime::from_micros(taken)) >= CENSUS_EVERY;
-        let mark = now.as_micros().max(1);
+        let updated = self.updated_us.load(Ordering::Relaxed);
+        let due = updated == 0 || now.since(MonoTime::from_micros(updated)) >= STATS_INTERVAL;
+        let new = now.as_micros().max(1);
         due && self
-            .taken_us
-            .compare_exchange(taken, mark, Ordering::Relaxed, Ordering::Relaxed)
+            .updated_us
+            .compare_exchange(updated, new, Ordering::Relaxed, Ordering::Relaxed)
             .is_ok()
     }
 
-    /// Ejections count only down to a floor. Without it, one bad signal (a
-    /// switch, a slow customer's payload, our own overload) ejects every
-    /// upstream but a few, and those are overloaded by what all had.
-    fn set(&self, count: usize, fit: usize, load: u64) {
+    /// Stores new statistics. Ejections are ignored if too few upstreams are healthy.
+    ///
+    /// Without this limit, one misleading signal, such as a network switch, the payload of
+    /// a slow customer or an overload of this instance, could eject all but a few
+    /// upstreams and overload the remaining ones.
+    fn set(&self, count: usize, healthy: usize, load: u64) {
         let mean = load as f64 / count.max(1) as f64;
         self.mean_load
-            .store((mean * THOUSAND) as u64, Ordering::Relaxed);
+            .store((mean * LOAD_SCALE) as u64, Ordering::Relaxed);
         self.ignore_ejections
-            .store(fit * EJECTION_FLOOR < count, Ordering::Relaxed);
+            .store(healthy * MIN_HEALTHY_DIVISOR < count, Ordering::Relaxed);
     }
 
     fn mean_load(&self) -> f64 {
-        self.mean_load.load(Ordering::Relaxed) as f64 / THOUSAND
+        self.mean_load.load(Ordering::Relaxed) as f64 / LOAD_SCALE
     }
 
     fn ignores_ejections(&self) -> bool {
--- a/crates/policy/src/queue_entry.rs
+++ b/crates/policy/src/queue_entry.rs
@@ -1,24 +1,24 @@
-//! A request's place in a pool's queue.
+//! An entry in the admission queue of a pool.
 
 use jd_types::CustomerKey;
 use jd_types::MonoTime;
 use jd_types::Priority;
 
-/// Identifies a ticket within one gate.
+/// Identifies an entry within one admission queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct QueueEntryId(pub u64);
 
-/// What a gate knows of one stage of one request that wants a slot.
+/// One stage of one request that needs a slot.
 #[derive(Debug, Clone, Copy)]
 pub struct QueueEntry {
-    /// Its identity, chosen by the caller.
+    /// Identifier chosen by the caller.
     pub id: QueueEntryId,
-    /// Whose request.
+    /// The customer that sent the request.
     pub customer: CustomerKey,
-    /// That customer's weight, at least 1.
+    /// The customer's weight, at least 1.
     pub weight: u32,
-    /// How urgent.
+    /// The priority of the request.
     pub priority: Priority,
-    /// The last moment at which starting still makes sense.
+    /// The latest time at which the stage can start and still meet the deadline.
     pub latest_start: MonoTime,
 }
--- a/crates/policy/src/retry_budget.rs
+++ b/crates/policy/src/retry_budget.rs
@@ -1,17 +1,16 @@
-//! A bound on retries, so that they cannot multiply an overload.
+//! Retry budget, which prevents retries from amplifying an overload.
 
 use std::sync::atomic::AtomicI64;
 use std::sync::atomic::Ordering;
 
-/// Tokens are counted in thousandths.
+/// One token. The bucket counts in thousandths of a token.
 const TOKEN: i64 = 1_000;
 
-/// A token bucket that first attempts fill and retries empty.
+/// A token bucket that first attempts fill and retries drain.
 ///
-/// Guards against the retry storm: a pool slows down, callers and stages time
-/// out, and each timeout becomes another request, so that the pool stays down
-/// after the cause is gone. With the budget, retries are at most a fixed part
-/// of first attempts whatever happens.
+/// Prevents retry storms. When a pool slows down, callers and stages time out, and each
+/// timeout causes another request, so that the pool stays overloaded after the original
+/// cause is gone. The budget limits retries to a fixed fraction of first attempts.
 ///
 /// # Examples
 ///
@@ -20,7 +19,7 @@
 ///
 /// let budget = RetryBudget::new(10, 1);
 /// assert!(budget.withdraw());
-/// assert!(!budget.withdraw(), "a tenth of a token a request");
+/// assert!(!budget.withdraw(), "a tenth of a token per request");
 /// (0..10).for_each(|_| budget.deposit());
 /// assert!(budget.withdraw());
 /// ```
@@ -32,8 +31,8 @@
 }
 
 impl RetryBudget {
-    /// A budget of `percent` retries for a hundred first attempts, and up to
-    /// `burst` at once. It starts full.
+    /// Creates a full budget of `percent` retries per 100 first attempts, with at most
+    /// `burst` retries at once.
     pub fn new(percent: u32, burst: u32) -> RetryBudget {
         let cap = i64::from(burst) * TOKEN;
         RetryBudget {
@@ -43,18 +42,18 @@
         }
     }
 
-    /// A first attempt was made.
+    /// Records a first attempt.
     pub fn deposit(&self) {
-        let add = |t: i64| Some((t + self.per_request).min(self.cap));
-        // The closure always gives a value, so the update cannot fail.
+        let add = |tokens: i64| Some((tokens + self.per_request).min(self.cap));
+        // The closure always returns `Some`, so the update cannot fail.
         let _ = self
             .tokens
             .fetch_update(Ordering::Relaxed, Ordering::Relaxed, add);
     }
 
-    /// Takes a token for a retry; false if there is none.
+    /// Takes a token for a retry. Returns false if none is available.
     pub fn withdraw(&self) -> bool {
-        let take = |t: i64| (t >= TOKEN).then_some(t - TOKEN);
+        let take = |tokens: i64| (tokens >= TOKEN).then_some(tokens - TOKEN);
         self.tokens
             .fetch_update(Ordering::Relaxed, Ordering::Relaxed, take)
             .is_ok()
--- a/crates/policy/src/routing_policy.rs
+++ b/crates/policy/src/routing_policy.rs
@@ -1,21 +1,21 @@
-//! Which upstream is chosen.
+//! Policies for choosing an upstream.
 
-/// Which upstream is chosen. All but the first exist to be measured against.
+/// How an upstream is chosen. All policies but the first are baselines for comparisons.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RoutingPolicy {
-    /// Of two random candidates the one with the least expected wait; prefix
-    /// affinity for engines; own hall first.
+    /// The better of two random candidates by expected wait, with prefix affinity for
+    /// engines and a preference for the instance's own availability zone.
     TwoChoices,
-    /// Any upstream, evenly at random.
+    /// Uniformly at random.
     Random,
-    /// One after another.
+    /// Each upstream in turn.
     RoundRobin,
-    /// The one on which this instance itself has the fewest requests.
+    /// The upstream with the fewest in-flight requests from this instance.
     LeastOwn,
 }
 
 impl RoutingPolicy {
-    /// Every policy, the shipped one first.
+    /// All policies, starting with the default.
     pub const ALL: [RoutingPolicy; 4] = [
         RoutingPolicy::TwoChoices,
         RoutingPolicy::Random,
@@ -23,7 +23,7 @@
         RoutingPolicy::LeastOwn,
     ];
 
-    /// The name in reports.
+    /// The name of the policy in reports.
     pub const fn as_str(self) -> &'static str {
         match self {
             RoutingPolicy::TwoChoices => "two-choices",
--- a/crates/policy/src/upstream.rs
+++ b/crates/policy/src/upstream.rs
@@ -1,4 +1,4 @@
-//! What one instance knows of one upstream.
+//! State that one instance keeps about one upstream.
 
 use std::net::SocketAddr;
 use std::sync::atomic::AtomicBool;
@@ -13,107 +13,114 @@
 
 use crate::LatencyEstimate;
 
-/// Failures in a row that eject an upstream.
-const EJECT_AFTER: u32 = 3;
-/// How long the first ejection lasts; each further one in a row doubles it.
-const EJECT_FOR: Duration = Duration::from_secs(1);
-/// The most doublings.
-const EJECT_DOUBLINGS: u32 = 4;
-/// How long a report of others counts; its weight falls evenly to nothing.
-const REPORT_LIFE: Duration = Duration::from_millis(1_500);
-/// How long a new upstream gets less than its part.
+/// Consecutive failures after which an upstream is ejected.
+const MAX_CONSECUTIVE_FAILURES: u32 = 3;
+/// Duration of the first ejection. It doubles with each consecutive ejection.
+const BASE_EJECTION: Duration = Duration::from_secs(1);
+/// Maximum number of doublings of the ejection time.
+const MAX_EJECTION_DOUBLINGS: u32 = 4;
+/// How long a peer load report is used. Its weight decreases linearly to zero.
+const REPORT_LIFETIME: Duration = Duration::from_millis(1_500);
+/// How long a new upstream receives less than its share of requests.
 const SLOW_START: Duration = Duration::from_secs(2);
 
-/// What somebody else said of an upstream's load.
+/// The load that other instances reported for an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PeerLoadReport {
-    /// Requests it has in flight from everybody else.
+    /// In-flight requests of all other instances.
     pub in_flight: u32,
-    /// When we heard it.
+    /// When the report was received.
     pub received: MonoTime,
 }
 
-/// What one instance knows of one upstream. Shared by all requests and all
-/// revisions of the table, and only atomics, so that no request waits.
+/// State that one instance keeps about one upstream.
+///
+/// Shared by all requests and by all revisions of the pool table. All mutable state is
+/// atomic, so that no request waits for a lock.
 #[derive(Debug)]
 pub struct Upstream {
-    /// Where it answers.
+    /// The address of the upstream.
     pub address: SocketAddr,
-    /// The hall that it stands in.
+    /// The availability zone of the upstream.
     pub zone: Name,
-    since: MonoTime,
+    first_seen: MonoTime,
     leaving: AtomicBool,
     in_flight: AtomicU32,
     failures: AtomicU32,
     ejections: AtomicU32,
     ejected_until: AtomicU64,
-    others: AtomicU32,
-    others_heard: AtomicU64,
+    peer_in_flight: AtomicU32,
+    peer_load_received: AtomicU64,
     latency: LatencyEstimate,
 }
 
 impl Upstream {
-    /// An upstream first seen at `since`. An upstream that was there when the
-    /// instance started is given [`MonoTime::ZERO`] and has no slow start.
-    pub fn new(address: SocketAddr, zone: Name, since: MonoTime) -> Upstream {
+    /// Creates an upstream that was first seen at `first_seen`.
+    ///
+    /// Upstreams that existed when the instance started are created with
+    /// [`MonoTime::ZERO`] and have no slow start.
+    pub fn new(address: SocketAddr, zone: Name, first_seen: MonoTime) -> Upstream {
         Upstream {
             address,
             zone,
-            since,
+            first_seen,
             leaving: AtomicBool::new(false),
             in_flight: AtomicU32::new(0),
             failures: AtomicU32::new(0),
             ejections: AtomicU32::new(0),
             ejected_until: AtomicU64::new(0),
-            others: AtomicU32::new(0),
-            others_heard: AtomicU64::new(0),
+            peer_in_flight: AtomicU32::new(0),
+            peer_load_received: AtomicU64::new(0),
             latency: LatencyEstimate::default(),
         }
     }
 
-    /// True once anybody said that it is leaving.
+    /// True once any source reported that the upstream is leaving.
     pub fn is_leaving(&self) -> bool {
         self.leaving.load(Ordering::Relaxed)
     }
 
-    /// Marks it as leaving; true if that is news. A hint counts at once and is
-    /// not taken back: a return is another upstream with a fresh entry.
+    /// Marks the upstream as leaving. Returns true if it was not marked before.
+    ///
+    /// One hint is enough, and the mark is permanent: an upstream that returns gets a new
+    /// entry.
     pub fn mark_leaving(&self) -> bool {
         !self.leaving.swap(true, Ordering::Relaxed)
     }
 
-    /// Requests in flight from this instance.
+    /// In-flight requests of this instance.
     pub fn in_flight(&self) -> u32 {
         self.in_flight.load(Ordering::Relaxed)
     }
 
-    /// A request goes out.
+    /// Records that an attempt was sent.
     pub fn attempt_started(&self) {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Takes in what others have in flight there.
+    /// Records the in-flight requests of other instances.
     pub fn set_peer_load(&self, report: PeerLoadReport) {
-        self.others.store(report.in_flight, Ordering::Relaxed);
-        self.others_heard
+        self.peer_in_flight
+            .store(report.in_flight, Ordering::Relaxed);
+        self.peer_load_received
             .store(report.received.as_micros(), Ordering::Relaxed);
     }
 
-    /// An attempt ended.
-    pub fn attempt_finished(&self, now: MonoTime, took: Duration, outcome: AttemptOutcome) {
-        let less = |n: u32| n.checked_sub(1);
-        // Fails only at zero, where there is nothing to take off.
+    /// Records the end of an attempt.
+    pub fn attempt_finished(&self, now: MonoTime, latency: Duration, outcome: AttemptOutcome) {
+        let decrement = |n: u32| n.checked_sub(1);
+        // Fails only at zero, where there is nothing to subtract.
         let _ = self
             .in_flight
-            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, less);
+            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, decrement);
         match outcome {
-            AttemptOutcome::Answered => self.succeeded(took),
-            // The caller went away: says nothing about the upstream.
+            AttemptOutcome::Answered => self.succeeded(latency),
+            // The caller disconnected, which is no information about the upstream.
             AttemptOutcome::Cancelled => {}
             AttemptOutcome::TimedOut | AttemptOutcome::Silent => {
-                // Slowness is evidence of itself: without this sample a grey
-                // failure shows no latency at all, since nothing is answered.
-                self.latency.record(took);
+                // A timeout counts as a latency sample. Otherwise an upstream that
+                // answers nothing (a gray failure) would have no latency on record.
+                self.latency.record(latency);
                 self.failed(now);
             }
             AttemptOutcome::Unreachable => self.eject(now),
@@ -124,28 +131,28 @@
         }
     }
 
-    /// True while it is ejected.
+    /// True while the upstream is ejected.
     pub fn is_ejected(&self, now: MonoTime) -> bool {
         now < self.ejected_until()
     }
 
-    /// Until when it is left alone; long ago if it never was.
+    /// When the current or last ejection ends, or [`MonoTime::ZERO`] if there was none.
     pub fn ejected_until(&self) -> MonoTime {
         MonoTime::from_micros(self.ejected_until.load(Ordering::Relaxed))
     }
 
-    /// The mean time of its answers; zero before the first.
+    /// Mean response latency, or zero before the first sample.
     pub fn latency(&self) -> Duration {
         self.latency.mean()
     }
 
-    /// How long a new request would take there, in microseconds, for comparing.
+    /// Expected time of a new request in microseconds, for comparing upstreams.
     ///
-    /// Own requests count in full. What others report is discounted by its age:
-    /// a report that counted in full for its whole life would send everybody
-    /// to the one that looked idle, all at once.
+    /// Requests of this instance count in full. The load reported by other instances is
+    /// discounted by the age of the report: if it counted in full until it expired, all
+    /// instances would choose the same apparently idle upstream at once.
     pub fn score(&self, now: MonoTime, slots: u32, typical: Duration) -> f64 {
-        let load = f64::from(self.in_flight()) + self.others_now(now);
+        let load = f64::from(self.in_flight()) + self.peer_load(now);
         let latency = match self.latency() {
             Duration::ZERO => typical,
             mean => mean,
@@ -155,43 +162,43 @@
         queue * queue * micros * self.slow_start(now)
     }
 
-    fn others_now(&self, now: MonoTime) -> f64 {
-        let heard = MonoTime::from_micros(self.others_heard.load(Ordering::Relaxed));
-        let age = now.since(heard).as_secs_f64() / REPORT_LIFE.as_secs_f64();
-        f64::from(self.others.load(Ordering::Relaxed)) * (1.0 - age).max(0.0)
+    fn peer_load(&self, now: MonoTime) -> f64 {
+        let received = MonoTime::from_micros(self.peer_load_received.load(Ordering::Relaxed));
+        let age = now.since(received).as_secs_f64() / REPORT_LIFETIME.as_secs_f64();
+        f64::from(self.peer_in_flight.load(Ordering::Relaxed)) * (1.0 - age).max(0.0)
     }
 
     fn slow_start(&self, now: MonoTime) -> f64 {
-        if self.since == MonoTime::ZERO {
+        if self.first_seen == MonoTime::ZERO {
             return 1.0;
         }
-        let age = now.since(self.since).as_secs_f64() / SLOW_START.as_secs_f64();
+        let age = now.since(self.first_seen).as_secs_f64() / SLOW_START.as_secs_f64();
         1.0 + 3.0 * (1.0 - age).max(0.0)
     }
 
-    fn succeeded(&self, took: Duration) {
-        self.latency.record(took);
+    fn succeeded(&self, latency: Duration) {
+        self.latency.record(latency);
         self.failures.store(0, Ordering::Relaxed);
         self.ejections.store(0, Ordering::Relaxed);
     }
 
     fn failed(&self, now: MonoTime) {
         let count = self.failures.fetch_add(1, Ordering::Relaxed) + 1;
-        if count >= EJECT_AFTER {
+        if count >= MAX_CONSECUTIVE_FAILURES {
             self.eject(now);
         }
     }
 
-    /// Leaves it alone for a while.
+    /// Ejects the upstream for a time that doubles with each consecutive ejection.
     ///
-    /// At once where no connection opens: of a dark upstream an instance sees one
-    /// request in two seconds, and each of three in a row would lose its time
-    /// before the upstream is left alone.
+    /// An upstream to which no connection can be opened is ejected on the first failure.
+    /// An instance sends about one request in two seconds to an upstream that is down,
+    /// and waiting for three failures would make each of these requests lose its time.
     fn eject(&self, now: MonoTime) {
         self.failures.store(0, Ordering::Relaxed);
-        let before = self.ejections.fetch_add(1, Ordering::Relaxed);
-        let factor = 1 << before.min(EJECT_DOUBLINGS);
-        let until = now + EJECT_FOR * factor;
+        let previous = self.ejections.fetch_add(1, Ordering::Relaxed);
+        let factor = 1 << previous.min(MAX_EJECTION_DOUBLINGS);
+        let until = now + BASE_EJECTION * factor;
         self.ejected_until
             .store(until.as_micros(), Ordering::Relaxed);
     }
--- a/crates/policy/tests/runs.rs
+++ b/crates/policy/tests/runs.rs
@@ -1,4 +1,4 @@
-//! Runs, connections and cost.
+//! Pipeline runs, connection monitoring and cost accounting.
 
 #![allow(clippy::unwrap_used, clippy::panic)]
 
@@ -34,7 +34,7 @@
     Duration::from_millis(n)
 }
 
-fn hall(text: &str) -> Name {
+fn name(text: &str) -> Name {
     Name::try_from(text).unwrap()
 }
 
@@ -79,10 +79,10 @@
     }
 }
 
-// The first attempt is given up, the second is under way, and the first one's
-// answer comes: taken for the second's, it would advance the request twice.
+// The response to the first attempt arrives after the second attempt was sent. If it were
+// taken for the response to the second attempt, the request would advance by two stages.
 #[test]
-fn a_late_answer_changes_nothing() {
+fn a_late_response_is_ignored() {
     let budget = RetryBudget::new(10, 5);
     let mut run = run(&[stage(true, false), stage(true, false)]);
     let first = dispatched(&run.start(at(0)));
@@ -105,13 +105,14 @@
     );
 }
 
-// A permit is issued, its answer is lost, and the lodgement is sent again.
+// Guards against a stage that must not run twice and is sent again because its response
+// was lost.
 #[test_case(AttemptOutcome::Failed)]
 #[test_case(AttemptOutcome::Silent)]
 #[test_case(AttemptOutcome::TimedOut)]
 #[test_case(AttemptOutcome::Crossed)]
 #[test_case(AttemptOutcome::Truncated)]
-fn what_must_not_run_twice_is_not_sent_twice(outcome: AttemptOutcome) {
+fn a_non_idempotent_stage_is_not_sent_twice(outcome: AttemptOutcome) {
     let budget = RetryBudget::new(100, 50);
     let mut run = run(&[stage(false, false)]);
     let attempt = dispatched(&run.start(at(0)));
@@ -125,10 +126,10 @@
     );
 }
 
-// An upstream proved that it did nothing: the only case in which such a stage
-// may be sent again, and in which "not run" stays true.
+// An upstream proved that the attempt did not run. Only then may a stage that must not run
+// twice be sent again, and only then does the run state stay "not run".
 #[test]
-fn what_provably_did_not_run_is_sent_again() {
+fn an_attempt_that_provably_did_not_run_is_retried() {
     let budget = RetryBudget::new(100, 50);
     let mut run = run(&[stage(false, false)]);
     let attempt = dispatched(&run.start(at(0)));
@@ -139,11 +140,12 @@
     assert_eq!(run.state(), RunState::NotRun);
 }
 
-// Where the upstream can look a key up it is asked, and never sent it again.
+// An upstream that supports lookups is queried for the key, and never receives the attempt
+// again.
 #[test_case(Some(true), true)]
 #[test_case(Some(false), false)]
 #[test_case(None, false)]
-fn a_lost_answer_is_looked_up(found: Option<bool>, answered: bool) {
+fn a_lost_response_is_looked_up(ran: Option<bool>, answered: bool) {
     let budget = RetryBudget::new(100, 50);
     let mut run = run(&[stage(false, true)]);
     let attempt = dispatched(&run.start(at(0)));
@@ -151,16 +153,17 @@
         .attempt_ended(at(10), attempt, AttemptOutcome::Failed, &budget)
         .unwrap();
     assert_eq!(step, RunStep::LookUp { attempt });
-    let end = run.lookup_finished(at(20), found);
+    let end = run.lookup_finished(at(20), ran);
     assert_eq!(end == RunStep::End(RunEnd::Answered), answered);
     if !answered {
         assert_eq!(refused(&end).1, RunState::MayHaveRun);
     }
 }
 
-// Retries go on past the deadline, or past what the rest of the pipeline needs.
+// Guards against retries after the deadline, and retries after which the remaining stages
+// could no longer finish before it.
 #[test]
-fn nothing_is_retried_that_can_not_finish() {
+fn an_attempt_that_cannot_finish_in_time_is_not_retried() {
     let budget = RetryBudget::new(100, 50);
     let mut run = run(&[stage(true, false), stage(true, false)]);
     let attempt = dispatched(&run.start(at(0)));
@@ -173,52 +176,52 @@
     );
 }
 
-// A connection has been forgotten in between: its requests get no answer, for
-// good, while new connections work. Its older siblings are likely forgotten too.
+// A middlebox has lost the state of a connection. Its requests never get a response, while
+// new connections work. Older connections are probably lost too.
 #[test]
-fn a_silent_connection_takes_its_older_siblings_along() {
-    let mut watch = ConnectionMonitor::default();
-    let [old, silent, fresh] = [0, 10, 900].map(|t| watch.opened(at(t)));
-    watch.sent(at(1_000), silent);
-    assert_eq!(watch.retire_silent(at(1_050), silent, ms(100)), []);
-    watch.received(at(1_060), fresh, true);
+fn a_silent_connection_is_retired_with_older_silent_ones() {
+    let mut monitor = ConnectionMonitor::default();
+    let [old, silent, fresh] = [0, 10, 900].map(|t| monitor.opened(at(t)));
+    monitor.sent(at(1_000), silent);
+    assert_eq!(monitor.retire_silent(at(1_050), silent, ms(100)), []);
+    monitor.received(at(1_060), fresh, true);
     assert_eq!(
-        watch.retire_silent(at(1_100), silent, ms(100)),
+        monitor.retire_silent(at(1_100), silent, ms(100)),
         [old, silent]
     );
-    watch.sent(at(1_200), fresh);
-    watch.received(at(1_290), fresh, false);
+    monitor.sent(at(1_200), fresh);
+    monitor.received(at(1_290), fresh, false);
     assert_eq!(
-        watch.retire_silent(at(1_300), fresh, ms(100)),
+        monitor.retire_silent(at(1_300), fresh, ms(100)),
         [],
-        "it was heard a moment ago"
+        "data was received 10 ms before"
     );
 }
 
-// Rival agencies dispute the bill because its lines do not add up.
+// Guards against bills that are disputed because their items do not add up to the total.
 #[test]
-fn cost_adds_up_exactly_and_waste_stands_apart() {
+fn costs_add_up_exactly_and_waste_is_counted_separately() {
     let mut ledger = CostLedger::default();
-    let line = |stage, attempt, units, outcome| AttemptCost {
+    let cost = |stage, attempt, units, outcome| AttemptCost {
         attempt: AttemptId {
             request: REQUEST,
             stage,
             attempt,
         },
-        customer: hall("ranges"),
-        pipeline: hall("valuation"),
+        customer: name("ranges"),
+        pipeline: name("valuation"),
         upstream: "127.0.0.1:1".into(),
         units,
         held_us: 10,
         outcome,
     };
-    let lines = [
-        line(0, 1, 3, AttemptOutcome::Crossed),
-        line(0, 2, 3, AttemptOutcome::Answered),
-        line(1, 1, 9, AttemptOutcome::Answered),
+    let costs = [
+        cost(0, 1, 3, AttemptOutcome::Crossed),
+        cost(0, 2, 3, AttemptOutcome::Answered),
+        cost(1, 1, 9, AttemptOutcome::Answered),
     ];
-    ledger.record(&lines, true);
-    ledger.record(&lines, false);
+    ledger.record(&costs, true);
+    ledger.record(&costs, false);
     let total = ledger.grand_total();
     assert_eq!(
         (total.used_units, total.wasted_units, total.attempts),
