--- a/crates/net/src/body.rs
+++ b/crates/net/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests and answers.
+//! Request and response bodies.
 
 use std::convert::Infallible;
 
@@ -14,41 +14,43 @@
 use hyper::body::Incoming;
 use snafu::Snafu;
 
-/// What can go wrong while a body is produced.
+/// An error while a body is produced.
 pub type BodyError = Box<dyn std::error::Error + Send + Sync>;
 
-/// A body of any origin.
+/// A body from any source.
 pub type Body = UnsyncBoxBody<Bytes, BodyError>;
 
-/// A body that is there whole.
+/// Creates a body from bytes in memory.
 pub fn full(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into())
         .map_err(|never: Infallible| match never {})
         .boxed_unsync()
 }
 
-/// No body.
+/// Creates an empty body.
 pub fn empty() -> Body {
     full(Bytes::new())
 }
 
-/// A body that comes part by part. An error part cuts it off, which the other
-/// end sees as such.
-pub fn stream(parts: impl Stream<Item = Result<Bytes, BodyError>> + Send + 'static) -> Body {
-    let frames = parts.map(|part| part.map(Frame::data));
+/// Creates a body from a stream of chunks.
+///
+/// An error in the stream aborts the body, so that the receiver can tell that it is
+/// incomplete.
+pub fn stream(chunks: impl Stream<Item = Result<Bytes, BodyError>> + Send + 'static) -> Body {
+    let frames = chunks.map(|chunk| chunk.map(Frame::data));
     BodyExt::boxed_unsync(StreamBody::new(frames))
 }
 
-/// Why a body could not be read.
+/// An error while reading a body.
 #[derive(Debug, Snafu, PartialEq, Eq)]
 pub enum BodyReadError {
-    /// It is larger than allowed.
+    /// The body is larger than the limit.
     #[snafu(display("the body is larger than {limit} bytes; send a smaller one"))]
     TooLarge {
         /// The limit in bytes.
         limit: usize,
     },
-    /// It ended early.
+    /// The body ended early.
     #[snafu(display("the body was cut off; send it again whole"))]
     Truncated,
 }
--- a/crates/net/src/grpc_channel.rs
+++ b/crates/net/src/grpc_channel.rs
@@ -24,7 +24,7 @@
 use crate::SendError;
 use crate::lock;
 
-/// A channel to one instance, opened on first use and again after it broke.
+/// A channel to one instance. It connects on first use and reconnects after a failure.
 #[derive(Debug, Clone)]
 pub struct GrpcChannel {
     address: SocketAddr,
@@ -33,7 +33,7 @@
 }
 
 impl GrpcChannel {
-    /// A channel that is not open yet.
+    /// Creates a channel without connecting.
     pub fn new(executor: Arc<Executor<'static>>, address: SocketAddr) -> GrpcChannel {
         GrpcChannel {
             address,
@@ -42,8 +42,10 @@
         }
     }
 
-    /// Closes the connection; the next call opens another. To be called when a
-    /// call got no answer in time: the connection may be silent for good.
+    /// Closes the connection, so that the next call opens a new one.
+    ///
+    /// Call this after a call has timed out, because the connection may never respond
+    /// again.
     pub fn reset(&self) {
         *lock(&self.sender) = None;
     }
@@ -65,11 +67,11 @@
         let executor = SmolExecutor::new(Arc::clone(&self.executor));
         let opened = http2::handshake(executor, FuturesIo::new(io)).await;
         let (sender, driver) = opened.map_err(|_| SendError::NotSent)?;
-        let driving = async move {
-            // An error here shows in the calls' own results.
+        let connection = async move {
+            // Errors are reported by the results of the calls.
             let _ = driver.await;
         };
-        self.executor.spawn(driving).detach();
+        self.executor.spawn(connection).detach();
         let mut slot = lock(&self.sender);
         *slot = Some(sender.clone());
         Ok(sender)
@@ -78,7 +80,7 @@
     async fn send(self, req: Request<tonic::body::Body>) -> Result<Response<Incoming>, SendError> {
         let mut sender = self.ready_sender().await?;
         let (mut parts, body) = req.into_parts();
-        parts.uri = absolute(self.address, &parts.uri)?;
+        parts.uri = absolute_uri(self.address, &parts.uri)?;
         let req = Request::from_parts(parts, body);
         sender
             .send_request(req)
@@ -87,8 +89,8 @@
     }
 }
 
-/// HTTP/2 wants scheme and authority in the request itself.
-fn absolute(address: SocketAddr, uri: &Uri) -> Result<Uri, SendError> {
+/// Adds the scheme and authority, which an HTTP/2 request must contain.
+fn absolute_uri(address: SocketAddr, uri: &Uri) -> Result<Uri, SendError> {
     let path = uri.path_and_query().map_or("/", |p| p.as_str());
     let built = Uri::builder()
         .scheme("http")
--- a/crates/net/src/http_pool.rs
+++ b/crates/net/src/http_pool.rs
@@ -1,4 +1,4 @@
-//! Connections to upstreams and other servers.
+//! HTTP/1.1 connection pool for upstreams and other servers.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -27,18 +27,18 @@
 use crate::lock;
 use crate::with_timeout;
 
-/// How long a connection may take to open: many round trips within a region. One
-/// whose first packet was lost is sooner opened anew, elsewhere, than waited for:
-/// systems send that packet again after a second.
-const CONNECT_WITHIN: Duration = Duration::from_millis(300);
-/// Idle connections that are kept for one address.
+/// Timeout for opening a connection: many round trips within a region. If the first packet
+/// is lost, the operating system sends it again only after one second, so that connecting
+/// again, to another address, is faster than waiting.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Maximum number of idle connections per address.
 const MAX_IDLE: usize = 64;
-/// How long a connection may lie idle and still be used. Upstreams close idle
-/// connections, some without notice; a request that crosses the close is lost,
-/// and nobody can tell whether it ran.
+/// Maximum idle time after which a connection is still reused. Upstreams close idle
+/// connections, some without notice. A request that is sent while its connection is being
+/// closed is lost, and whether it ran is unknown.
 const MAX_IDLE_TIME: Duration = Duration::from_secs(2);
 
-/// One open connection. Dropping it closes it.
+/// An open connection, which is closed when dropped.
 pub(crate) struct Connection {
     address: SocketAddr,
     key: ConnectionKey,
@@ -54,27 +54,27 @@
 }
 
 #[derive(Debug, Default)]
-struct PerAddress {
-    watch: ConnectionMonitor,
+struct AddressPool {
+    monitor: ConnectionMonitor,
     idle: Vec<Connection>,
 }
 
-/// What the pool and the answers in progress share.
+/// State shared by the pool and the responses in progress.
 #[derive(Debug)]
-pub(crate) struct Shared {
+pub(crate) struct PoolState {
     clock: Clock,
-    addresses: Mutex<HashMap<SocketAddr, PerAddress>>,
+    addresses: Mutex<HashMap<SocketAddr, AddressPool>>,
 }
 
-impl Shared {
-    fn lock(&self) -> MutexGuard<'_, HashMap<SocketAddr, PerAddress>> {
+impl PoolState {
+    fn lock(&self) -> MutexGuard<'_, HashMap<SocketAddr, AddressPool>> {
         lock(&self.addresses)
     }
 
-    pub(crate) fn heard(&self, c: &Connection) {
+    pub(crate) fn record_received(&self, c: &Connection) {
         let now = self.clock.now();
-        if let Some(per) = self.lock().get_mut(&c.address) {
-            per.watch.received(now, c.key, false);
+        if let Some(pool) = self.lock().get_mut(&c.address) {
+            pool.monitor.received(now, c.key, false);
         }
     }
 
@@ -82,124 +82,130 @@
         let now = self.clock.now();
         c.idle_since = now;
         let mut addresses = self.lock();
-        let per = addresses.entry(c.address).or_default();
-        per.watch.received(now, c.key, true);
-        match per.idle.len() < MAX_IDLE {
-            true => per.idle.push(c),
-            false => per.watch.closed(c.key),
+        let pool = addresses.entry(c.address).or_default();
+        pool.monitor.received(now, c.key, true);
+        match pool.idle.len() < MAX_IDLE {
+            true => pool.idle.push(c),
+            false => pool.monitor.closed(c.key),
         }
     }
 
     fn take_idle(&self, address: SocketAddr) -> Option<Connection> {
         let mut addresses = self.lock();
-        let per = addresses.get_mut(&address)?;
-        // The newest first: what lies longest is likeliest to be forgotten
-        // by something in between.
+        let pool = addresses.get_mut(&address)?;
+        // The most recently used connection first: a middlebox is most likely to have
+        // dropped its state for connections that have been idle for long.
         let now = self.clock.now();
-        while let Some(c) = per.idle.pop() {
+        while let Some(c) = pool.idle.pop() {
             if c.sender.is_ready() && now.since(c.idle_since) < MAX_IDLE_TIME {
                 return Some(c);
             }
-            per.watch.closed(c.key);
+            pool.monitor.closed(c.key);
         }
         None
     }
 
-    fn sent(&self, c: &Connection) {
+    fn record_sent(&self, c: &Connection) {
         let now = self.clock.now();
         self.lock()
             .entry(c.address)
             .or_default()
-            .watch
+            .monitor
             .sent(now, c.key);
     }
 
-    fn closed(&self, address: SocketAddr, key: ConnectionKey) {
-        if let Some(per) = self.lock().get_mut(&address) {
-            per.watch.closed(key);
+    fn record_closed(&self, address: SocketAddr, key: ConnectionKey) {
+        if let Some(pool) = self.lock().get_mut(&address) {
+            pool.monitor.closed(key);
         }
     }
 
-    fn judge(&self, address: SocketAddr, key: ConnectionKey, patience: Duration) -> usize {
+    fn retire_silent(&self, address: SocketAddr, key: ConnectionKey, timeout: Duration) -> usize {
         let now = self.clock.now();
         let mut addresses = self.lock();
-        let Some(per) = addresses.get_mut(&address) else {
+        let Some(pool) = addresses.get_mut(&address) else {
             return 0;
         };
-        let retired = per.watch.retire_silent(now, key, patience);
-        per.idle.retain(|c| !retired.contains(&c.key));
+        let retired = pool.monitor.retire_silent(now, key, timeout);
+        pool.idle.retain(|c| !retired.contains(&c.key));
         retired.len()
     }
 }
 
-/// Connections to many addresses, kept for reuse.
+/// A pool of connections to many addresses.
 #[derive(Debug, Clone)]
 pub struct HttpPool {
     executor: Arc<Executor<'static>>,
-    shared: Arc<Shared>,
+    shared: Arc<PoolState>,
 }
 
 impl HttpPool {
-    /// A pool without connections, whose connections run on `executor`.
+    /// Creates an empty pool, whose connections run on `executor`.
     pub fn new(executor: Arc<Executor<'static>>, clock: Clock) -> HttpPool {
         let addresses = Mutex::new(HashMap::new());
         HttpPool {
             executor,
-            shared: Arc::new(Shared { clock, addresses }),
+            shared: Arc::new(PoolState { clock, addresses }),
         }
     }
 
-    /// Sends `req` to `address` and waits for the head of the answer, at most
-    /// `patience`. `None` means silence: the connection, and the older ones
-    /// that were as silent, are retired. `fresh` asks for a new connection.
+    /// Sends `req` to `address` and waits at most `timeout` for the head of the response.
+    ///
+    /// Returns none on a timeout. The connection is then retired, together with older
+    /// connections to the address that have been silent as long. `new_connection` is true
+    /// if idle connections must not be used.
     pub async fn send(
         &self,
         address: SocketAddr,
         req: Request<Body>,
-        patience: Duration,
-        fresh: bool,
+        timeout: Duration,
+        new_connection: bool,
     ) -> Option<Result<HttpResponse, SendError>> {
-        self.send_if(address, req, patience, fresh, || true).await
+        self.send_if(address, req, timeout, new_connection, || true)
+            .await
     }
 
-    /// Closes the idle connections to an address. Who answered there has ended, and
-    /// a request on one of them might wait for an answer that cannot come.
+    /// Closes the idle connections to an address whose server has ended.
+    ///
+    /// A request on one of them might wait for a response that cannot arrive.
     pub fn close_idle(&self, address: SocketAddr) {
-        if let Some(per) = self.shared.lock().get_mut(&address) {
-            for c in per.idle.drain(..) {
-                per.watch.closed(c.key);
+        if let Some(pool) = self.shared.lock().get_mut(&address) {
+            for c in pool.idle.drain(..) {
+                pool.monitor.closed(c.key);
             }
         }
     }
 
-    /// Whether anybody answers at an address, on a connection of its own.
+    /// Checks whether a server accepts connections at an address, by opening a new one.
     pub async fn probe(&self, address: SocketAddr) -> ProbeResult {
         let opening = Async::<TcpStream>::connect(address);
-        match with_timeout(CONNECT_WITHIN, opening).await {
+        match with_timeout(CONNECT_TIMEOUT, opening).await {
             Some(Ok(_)) => ProbeResult::Open,
             Some(Err(_)) => ProbeResult::Refused,
             None => ProbeResult::TimedOut,
         }
     }
 
-    /// The same as [`HttpPool::send`]; `may_send` is asked each time that the request is about
-    /// to be handed to an open connection, and nothing is sent if it says no. Opening a
-    /// connection to an upstream that is gone can take long.
+    /// Sends a request like [`HttpPool::send`], but only while `may_send` returns true.
+    ///
+    /// `may_send` is called each time the request is about to be written to an open
+    /// connection, because conditions can change while a connection is opened: for an
+    /// upstream that is gone, this can take long.
     pub async fn send_if(
         &self,
         address: SocketAddr,
         req: Request<Body>,
-        patience: Duration,
-        fresh: bool,
+        timeout: Duration,
+        new_connection: bool,
         may_send: impl Fn() -> bool,
     ) -> Option<Result<HttpResponse, SendError>> {
         let mut req = req;
-        if !fresh && let Some(c) = self.shared.take_idle(address) {
+        if !new_connection && let Some(c) = self.shared.take_idle(address) {
             if !may_send() {
                 self.shared.put_back(c);
                 return Some(Err(SendError::NotSent));
             }
-            match self.send_on(c, req, patience).await {
+            match self.send_on(c, req, timeout).await {
                 Sent::Returned(r) => req = *r,
                 Sent::Done(result) => return *result,
             }
@@ -212,34 +218,34 @@
             self.shared.put_back(c);
             return Some(Err(SendError::NotSent));
         }
-        match self.send_on(c, req, patience).await {
+        match self.send_on(c, req, timeout).await {
             Sent::Returned(_) => Some(Err(SendError::NotSent)),
             Sent::Done(result) => *result,
         }
     }
 
-    async fn send_on(&self, mut c: Connection, req: Request<Body>, patience: Duration) -> Sent {
+    async fn send_on(&self, mut c: Connection, req: Request<Body>, timeout: Duration) -> Sent {
         let (address, key) = (c.address, c.key);
-        self.shared.sent(&c);
-        let answer = with_timeout(patience, c.sender.try_send_request(req)).await;
-        match answer {
+        self.shared.record_sent(&c);
+        let result = with_timeout(timeout, c.sender.try_send_request(req)).await;
+        match result {
             Some(Ok(res)) => {
-                self.shared.heard(&c);
+                self.shared.record_received(&c);
                 let res = HttpResponse::new(res, c, Arc::clone(&self.shared));
                 Sent::Done(Box::new(Some(Ok(res))))
             }
             Some(Err(mut e)) => {
-                self.shared.closed(address, key);
+                self.shared.record_closed(address, key);
                 match e.take_message() {
-                    // The library hands the request back only if no byte of it
-                    // was written, so sending it again cannot run it twice.
+                    // hyper returns the request only if no byte of it was written, so that
+                    // sending it again cannot run it twice.
                     Some(req) => Sent::Returned(Box::new(req)),
                     None => Sent::Done(Box::new(Some(Err(SendError::Broken)))),
                 }
             }
             None => {
-                let retired = self.shared.judge(address, key, patience);
-                log::info!(address:% = address, retired; "silent connection");
+                let retired = self.shared.retire_silent(address, key, timeout);
+                log::info!(address:% = address, retired; "no response on a connection; retired it and older silent ones");
                 Sent::Done(Box::new(None))
             }
         }
@@ -248,21 +254,22 @@
     async fn connect(&self, address: SocketAddr) -> Option<Connection> {
         let opening = async {
             let io = Async::<TcpStream>::connect(address).await.ok()?;
-            // Small messages in both directions: waiting for more only delays.
+            // Messages are small in both directions, so that Nagle's algorithm would only
+            // delay them.
             io.get_ref().set_nodelay(true).ok()?;
             http1::handshake(FuturesIo::new(io)).await.ok()
         };
-        let (sender, driver) = with_timeout(CONNECT_WITHIN, opening).await??;
+        let (sender, driver) = with_timeout(CONNECT_TIMEOUT, opening).await??;
         let now = self.shared.clock.now();
         let key = self
             .shared
             .lock()
             .entry(address)
             .or_default()
-            .watch
+            .monitor
             .opened(now);
         let driver = self.executor.spawn(async move {
-            // An error here shows in the request's own result.
+            // Errors are reported by the result of the request.
             let _ = driver.await;
         });
         Some(Connection {
@@ -275,20 +282,20 @@
     }
 }
 
-/// What a connection to an address came to.
+/// The result of opening a connection to an address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProbeResult {
-    /// It was opened.
+    /// The connection was opened.
     Open,
-    /// It was refused: nobody listens there.
+    /// The connection was refused, so no process listens at the address.
     Refused,
-    /// Nothing came back.
+    /// There was no reply within the timeout.
     TimedOut,
 }
 
 enum Sent {
-    /// Nothing was written; here is the request again.
+    /// Nothing was written, and the request is returned.
     Returned(Box<Request<Body>>),
-    /// Sent; what came of it, or none for silence.
+    /// The request was sent. Contains its result, or none after a timeout.
     Done(Box<Option<Result<HttpResponse, SendError>>>),
 }
--- a/crates/net/src/http_response.rs
+++ b/crates/net/src/http_response.rs
@@ -1,4 +1,4 @@
-//! An answer that is still coming in.
+//! A response whose body is still being received.
 
 use std::sync::Arc;
 
@@ -11,26 +11,28 @@
 
 use crate::SendError;
 use crate::http_pool::Connection;
-use crate::http_pool::Shared;
+use crate::http_pool::PoolState;
 
-/// An answer that is still coming in. Once it has been read to its end the
-/// connection goes back to its pool; dropped before that, it is closed.
+/// A response whose body is still being received.
+///
+/// When the body has been read to its end, the connection returns to its pool. If the
+/// response is dropped earlier, the connection is closed.
 #[derive(Debug)]
 pub struct HttpResponse {
-    /// The status.
+    /// The status code.
     pub status: StatusCode,
     /// The headers.
     pub headers: HeaderMap,
     body: Incoming,
     connection: Option<Connection>,
-    shared: Arc<Shared>,
+    shared: Arc<PoolState>,
 }
 
 impl HttpResponse {
     pub(crate) fn new(
         res: http::Response<Incoming>,
         connection: Connection,
-        shared: Arc<Shared>,
+        shared: Arc<PoolState>,
     ) -> HttpResponse {
         let (parts, body) = res.into_parts();
         HttpResponse {
@@ -42,16 +44,16 @@
         }
     }
 
-    /// A header's value as text; none if it is missing or not text.
+    /// The value of a header, or none if it is missing or not valid text.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).and_then(|v| v.to_str().ok())
     }
 
-    /// The next part of the body; none at its end.
+    /// Reads the next chunk of the body. Returns none at its end.
     pub async fn chunk(&mut self) -> Result<Option<Bytes>, SendError> {
         while let Some(frame) = self.body.frame().await {
             let frame = frame.map_err(|_| SendError::Broken)?;
-            self.note_progress();
+            self.record_progress();
             if let Ok(data) = frame.into_data() {
                 return Ok(Some(data));
             }
@@ -62,21 +64,21 @@
         Ok(None)
     }
 
-    /// The whole body, at most `limit` bytes of it.
+    /// Reads the whole body. Fails if it is larger than `limit` bytes.
     pub async fn read_all(mut self, limit: usize) -> Result<Bytes, SendError> {
         let mut buf = BytesMut::new();
-        while let Some(part) = self.chunk().await? {
-            if buf.len() + part.len() > limit {
+        while let Some(chunk) = self.chunk().await? {
+            if buf.len() + chunk.len() > limit {
                 return Err(SendError::Broken);
             }
-            buf.extend_from_slice(&part);
+            buf.extend_from_slice(&chunk);
         }
         Ok(buf.freeze())
     }
 
-    fn note_progress(&self) {
+    fn record_progress(&self) {
         if let Some(c) = &self.connection {
-            self.shared.heard(c);
+            self.shared.record_received(c);
         }
     }
 }
--- a/crates/net/src/http_server.rs
+++ b/crates/net/src/http_server.rs
@@ -1,4 +1,4 @@
-//! Serving HTTP/1.1 and HTTP/2.
+//! HTTP/1.1 and HTTP/2 server.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -32,36 +32,36 @@
 use crate::lock;
 use crate::write_stall_timeout::WriteStallTimeout;
 
-/// What a handler returns.
+/// The future returned by a [`Handler`].
 pub type HandlerFuture = Pin<Box<dyn Future<Output = Response<Body>> + Send>>;
 
-/// The number of the connection that a request came on, from 1, among those of
-/// its server. In the request's extensions.
+/// The number of the connection on which a request was received, counted from 1 per server.
+/// Stored in the extensions of the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ConnectionNumber(pub u32);
 
-/// Answers requests.
+/// Handles requests.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers one request.
+    /// Handles one request.
     fn handle(self: Arc<Self>, req: Request<Incoming>) -> HandlerFuture;
 }
 
-/// Bounds on what a client may cost before it has shown who it is.
+/// Limits on the resources that a client can use before it is authenticated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ServerLimits {
-    /// Open connections.
+    /// Maximum number of open connections.
     pub connections: usize,
-    /// Headers of one request.
+    /// Maximum number of headers of one request.
     pub headers: usize,
-    /// Bytes of a request's head.
+    /// Maximum size of the head of a request, in bytes.
     pub head_bytes: usize,
-    /// How long a client may take to send a request's head.
+    /// Time within which a client has to send the head of a request.
     pub head_timeout: Duration,
-    /// How long a client may take next to nothing of what waits for it.
+    /// Time for which a client may read almost nothing of the pending response data.
     pub write_stall_timeout: Duration,
-    /// Requests at a time on one HTTP/2 connection.
+    /// Maximum number of concurrent requests on one HTTP/2 connection.
     pub streams: u32,
-    /// True where callers speak HTTP/1.1 only.
+    /// True if only HTTP/1.1 is served.
     pub http1_only: bool,
 }
 
@@ -79,15 +79,16 @@
     }
 }
 
-/// The least bytes of a head that the library can be told to allow.
-const LEAST_HEAD_BYTES: usize = 8_192;
-/// What the system holds for a client that does not read, in bytes.
-const SEND_BUFFER: usize = 64 << 10;
-/// Pause after a failed accept, such as when file descriptors have run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Minimum head size that hyper can be configured with, in bytes.
+const MIN_HEAD_BYTES: usize = 8_192;
+/// Size of the socket send buffer, in bytes. Bounds the kernel memory used for a client that
+/// does not read.
+const SEND_BUFFER_BYTES: usize = 64 << 10;
+/// Delay after a failed accept, for example when no file descriptors are left.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// A listening server. Dropping it closes every connection at once, as the end
-/// of its process would.
+/// A listening server. Dropping it closes all connections at once, like the end of the
+/// process.
 #[derive(Debug)]
 pub struct HttpServer {
     address: SocketAddr,
@@ -98,7 +99,7 @@
 }
 
 impl HttpServer {
-    /// Listens on `address`; port 0 lets the system choose.
+    /// Listens on `address`. With port 0, the operating system chooses the port.
     pub fn start(
         executor: Arc<Executor<'static>>,
         address: SocketAddr,
@@ -119,7 +120,9 @@
             stopped,
             dropped,
         };
-        executor.spawn(acceptor.run_until_ended(listener)).detach();
+        executor
+            .spawn(acceptor.run_until_shutdown(listener))
+            .detach();
         Ok(HttpServer {
             address,
             alive,
@@ -129,30 +132,30 @@
         })
     }
 
-    /// Where it listens.
+    /// The address on which the server listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Changes the bounds for connections that are opened from now on.
+    /// Changes the limits for connections that are opened from now on.
     pub fn set_limits(&self, limits: ServerLimits) {
         *lock(&self.limits) = limits;
     }
 
-    /// Closes every connection at once, as the end of the process would.
+    /// Closes all connections at once, like the end of the process.
     pub fn abort(&self) {
         self.alive.close();
     }
 
-    /// Accepts no more connections, lets each open one finish the requests that
-    /// it has, and waits for that at most `patience`.
-    pub async fn stop(&self, patience: Duration) {
+    /// Shuts down gracefully: stops accepting connections and waits at most `timeout` for
+    /// the open ones to finish their requests.
+    pub async fn stop(&self, timeout: Duration) {
         self.stopping.close();
-        const STEP: Duration = Duration::from_millis(10);
-        let mut left = patience;
+        const POLL_INTERVAL: Duration = Duration::from_millis(10);
+        let mut left = timeout;
         while self.open.load(Ordering::Relaxed) > 0 && !left.is_zero() {
-            Timer::after(STEP).await;
-            left = left.saturating_sub(STEP);
+            Timer::after(POLL_INTERVAL).await;
+            left = left.saturating_sub(POLL_INTERVAL);
         }
     }
 }
@@ -167,13 +170,13 @@
 }
 
 impl Acceptor {
-    async fn run_until_ended(self, listener: Async<TcpListener>) {
+    async fn run_until_shutdown(self, listener: Async<TcpListener>) {
         let (stopped, dropped) = (self.stopped.clone(), self.dropped.clone());
-        let ended = async move {
-            // Both err once their channel is closed, which is the signal.
+        let shutdown = async move {
+            // Both return an error once their channel is closed, which is the signal.
             let _ = stopped.recv().or(dropped.recv()).await;
         };
-        self.run(listener).or(ended).await;
+        self.run(listener).or(shutdown).await;
     }
 
     async fn run(self, listener: Async<TcpListener>) {
@@ -186,10 +189,10 @@
                     accepted += 1;
                     self.serve(io, ConnectionNumber(accepted));
                 }
-                // Above the bound the connection is closed at once.
+                // Connections above the limit are closed at once.
                 Ok(_) => {}
                 Err(_) => {
-                    Timer::after(ACCEPT_PAUSE).await;
+                    Timer::after(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
@@ -205,22 +208,22 @@
         let dropped = self.dropped.clone();
         let serving = async move {
             let _guard = guard;
-            // Both fail only if the connection is gone already.
+            // Both fail only if the connection is already closed.
             let _ = io.get_ref().set_nodelay(true);
-            let _ = sockopt::set_socket_send_buffer_size(io.get_ref(), SEND_BUFFER);
+            let _ = sockopt::set_socket_send_buffer_size(io.get_ref(), SEND_BUFFER_BYTES);
             let service = service_fn(move |mut req: Request<Incoming>| {
                 req.extensions_mut().insert(number);
-                let answer = Arc::clone(&handler).handle(req);
-                async move { Ok::<Response<Body>, Infallible>(answer.await) }
+                let response = Arc::clone(&handler).handle(req);
+                async move { Ok::<Response<Body>, Infallible>(response.await) }
             });
             let io = FuturesIo::new(WriteStallTimeout::new(io, write_stall_timeout));
             let connection = builder.serve_connection(io, service);
             let served = run_until_stopped(connection.into_owned(), stopped);
-            let ended = async {
-                // Errs once the server is dropped, which is the signal.
+            let server_dropped = async {
+                // Returns an error once the server is dropped, which is the signal.
                 let _ = dropped.recv().await;
             };
-            served.or(ended).await;
+            served.or(server_dropped).await;
         };
         self.executor.spawn(serving).detach();
     }
@@ -232,7 +235,7 @@
             .http1()
             .timer(SmolTimer::new())
             .max_headers(limits.headers)
-            .max_buf_size(limits.head_bytes.max(LEAST_HEAD_BYTES))
+            .max_buf_size(limits.head_bytes.max(MIN_HEAD_BYTES))
             .header_read_timeout(limits.head_timeout);
         builder
             .http2()
@@ -247,10 +250,11 @@
 }
 
 type ServedConnection<S> =
-    auto::Connection<'static, CallerIo, S, SmolExecutor<Arc<Executor<'static>>>>;
-type CallerIo = FuturesIo<WriteStallTimeout<Async<TcpStream>>>;
+    auto::Connection<'static, ClientIo, S, SmolExecutor<Arc<Executor<'static>>>>;
+type ClientIo = FuturesIo<WriteStallTimeout<Async<TcpStream>>>;
 
-/// Drives a connection; once the server stops, only until its requests are done.
+/// Serves a connection. After the server is stopped, serves it only until its current
+/// requests are finished.
 async fn run_until_stopped<S>(connection: ServedConnection<S>, stopped: Receiver<()>)
 where
     S: hyper::service::Service<Request<Incoming>, Response = Response<Body>, Error = Infallible>
@@ -259,12 +263,12 @@
 {
     let mut connection = Box::pin(connection);
     let served = async {
-        // How a connection ends is the client's affair.
+        // An error of the connection concerns only its client.
         let _ = connection.as_mut().await;
         true
     };
     let stopping = async {
-        // Errs once the channel is closed, which is the signal.
+        // Returns an error once the channel is closed, which is the signal.
         let _ = stopped.recv().await;
         false
     };
@@ -274,6 +278,7 @@
     }
 }
 
+/// Decrements the number of open connections when dropped.
 struct OpenGuard(Arc<AtomicUsize>);
 
 impl Drop for OpenGuard {
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,10 +1,9 @@
-//! What the daemons need to talk: executor threads, a clock, HTTP servers and
-//! connection pools, put together from libraries.
+//! Networking and runtime support for the daemons: executor threads, a clock, HTTP servers
+//! and connection pools.
 //!
-//! There is no rule of the system in here but one: which connections are
-//! retired when one goes silent, and that is decided by
-//! [`jd_policy::ConnectionMonitor`]. Bodies are bounded, and every wait can be
-//! given a limit with [`with_timeout`].
+//! This crate contains no policy of its own. Which connections are retired when one stops
+//! responding is decided by [`jd_policy::ConnectionMonitor`]. Body sizes are bounded, and
+//! [`with_timeout`] bounds any wait.
 
 mod body;
 mod clock;
--- a/crates/net/src/send_error.rs
+++ b/crates/net/src/send_error.rs
@@ -1,14 +1,15 @@
-//! How sending can fail.
+//! Errors of sending a request.
 
 use snafu::Snafu;
 
-/// How sending a request can fail. The kinds differ in what they prove.
+/// An error while sending a request. The variants differ in whether the request can have
+/// run.
 #[derive(Debug, Clone, Copy, Snafu, PartialEq, Eq)]
 pub enum SendError {
-    /// No byte of the request left: it cannot have run.
+    /// No byte of the request was sent, so it cannot have run.
     #[snafu(display("the request was not sent; another address may take it"))]
     NotSent,
-    /// The connection broke before the answer was complete.
+    /// The connection broke before the response was complete, so the request may have run.
     #[snafu(display("the connection broke before the answer was complete; it may have run"))]
     Broken,
 }
--- a/crates/net/src/with_timeout.rs
+++ b/crates/net/src/with_timeout.rs
@@ -1,4 +1,4 @@
-//! A limit on a wait.
+//! Timeout for futures.
 
 use std::future::Future;
 use std::time::Duration;
@@ -6,12 +6,12 @@
 use async_io::Timer;
 use futures_lite::FutureExt;
 
-/// Waits for `f`, but no longer than `limit`; none if the limit came first.
-pub async fn with_timeout<T>(limit: Duration, f: impl Future<Output = T>) -> Option<T> {
-    let done = async { Some(f.await) };
-    let late = async {
-        Timer::after(limit).await;
+/// Runs `future` for at most `timeout`. Returns none if it did not complete in time.
+pub async fn with_timeout<T>(timeout: Duration, future: impl Future<Output = T>) -> Option<T> {
+    let completed = async { Some(future.await) };
+    let expired = async {
+        Timer::after(timeout).await;
         None
     };
-    done.or(late).await
+    completed.or(expired).await
 }
--- a/crates/net/src/workers.rs
+++ b/crates/net/src/workers.rs
@@ -1,4 +1,4 @@
-//! The threads that run everything.
+//! Worker threads that run the async executor.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 
 use crate::lock;
 
-/// Threads that run one shared executor until the last handle is dropped.
+/// Worker threads that run a shared executor until the last handle is dropped.
 #[derive(Debug, Clone)]
 pub struct Workers {
     executor: Arc<Executor<'static>>,
@@ -21,7 +21,7 @@
 }
 
 impl Workers {
-    /// Starts `threads` threads.
+    /// Starts `threads` worker threads, at least one.
     pub fn start(threads: usize) -> std::io::Result<Workers> {
         let executor = Arc::new(Executor::new());
         let threads = threads.max(1);
@@ -33,26 +33,29 @@
         })
     }
 
-    /// Stops the threads where they are, as the system does with a process that
-    /// it suspends: tasks stay as they are and connections stay open.
+    /// Suspends the threads, as the operating system suspends a process. Tasks keep their
+    /// state, and connections stay open.
     pub fn suspend(&self) {
         lock(&self.running).close();
     }
 
-    /// Goes on after [`Workers::suspend`].
+    /// Resumes the threads after [`Workers::suspend`].
     pub fn resume(&self) -> std::io::Result<()> {
         *lock(&self.running) = run_threads(&self.executor, self.threads)?;
         Ok(())
     }
 
-    /// The executor, for libraries that spawn.
+    /// The executor, for libraries that spawn tasks.
     pub fn executor(&self) -> Arc<Executor<'static>> {
         Arc::clone(&self.executor)
     }
 
-    /// Runs `f` on the threads. Dropping the task cancels it.
-    pub fn spawn<T: Send + 'static>(&self, f: impl Future<Output = T> + Send + 'static) -> Task<T> {
-        self.executor.spawn(f)
+    /// Runs `future` on the worker threads. Dropping the returned task cancels it.
+    pub fn spawn<T: Send + 'static>(
+        &self,
+        future: impl Future<Output = T> + Send + 'static,
+    ) -> Task<T> {
+        self.executor.spawn(future)
     }
 }
 
@@ -63,7 +66,7 @@
         let executor = Arc::clone(executor);
         let rx: Receiver<()> = rx.clone();
         thread::Builder::new().name(name).spawn(move || {
-            // Ends with an error once the channel is closed or dropped.
+            // Returns an error once the channel is closed or dropped.
             let _ = async_io::block_on(executor.run(rx.recv()));
         })?;
     }
--- a/crates/net/src/write_stall_timeout.rs
+++ b/crates/net/src/write_stall_timeout.rs
@@ -1,4 +1,4 @@
-//! Connections whose other end has to take what is written.
+//! Write timeout for connections to clients that do not read.
 
 use std::future::Future;
 use std::io;
@@ -11,58 +11,59 @@
 use futures_lite::AsyncRead;
 use futures_lite::AsyncWrite;
 
-/// Bytes that the other end has to take in the time allowed while more of them wait.
-const LEAST_TAKEN: usize = 4 << 10;
+/// Bytes that the client has to read within the timeout while data is pending.
+const MIN_PROGRESS: usize = 4 << 10;
 
-/// A connection that fails with [`io::ErrorKind::TimedOut`] if its other end takes
-/// nothing, or next to nothing, for a time in which bytes wait for it.
+/// A connection that fails with [`io::ErrorKind::TimedOut`] if the client reads less than
+/// [`MIN_PROGRESS`] bytes within the timeout while data is pending.
 ///
-/// Guards against clients that do not read their answers. Each held its connection, its
-/// buffers and the upstream's connection behind it for good, since an answer that is not
-/// written is not asked for its next part and never comes to its deadline.
+/// Without this timeout, a client that does not read its response would hold its
+/// connection, its buffers and the upstream connection behind them forever. A response that
+/// cannot be written is not polled for its next chunk, so that its deadline is never
+/// checked.
 #[derive(Debug)]
 pub(crate) struct WriteStallTimeout<T> {
     io: T,
-    within: Duration,
-    behind: Option<Behind>,
+    timeout: Duration,
+    stall: Option<Stall>,
 }
 
-/// Since when bytes wait, and what was taken of them.
+/// The deadline of a stalled write, and the number of bytes written since the stall began.
 #[derive(Debug)]
-struct Behind {
-    over: Timer,
-    taken: usize,
+struct Stall {
+    deadline: Timer,
+    written: usize,
 }
 
 impl<T> WriteStallTimeout<T> {
-    /// The connection `io`, whose other end has `within` to take what waits.
-    pub(crate) fn new(io: T, within: Duration) -> WriteStallTimeout<T> {
+    /// Wraps `io`, whose client has to make progress within `timeout`.
+    pub(crate) fn new(io: T, timeout: Duration) -> WriteStallTimeout<T> {
         WriteStallTimeout {
             io,
-            within,
-            behind: None,
+            timeout,
+            stall: None,
         }
     }
 
-    /// The other end took some of `size` bytes.
-    fn took(&mut self, taken: usize, size: usize) {
-        let Some(behind) = &mut self.behind else {
+    /// Records that `written` of `size` bytes were written.
+    fn record_progress(&mut self, written: usize, size: usize) {
+        let Some(stall) = &mut self.stall else {
             return;
         };
-        behind.taken += taken;
-        if taken == size || behind.taken >= LEAST_TAKEN {
-            self.behind = None;
+        stall.written += written;
+        if written == size || stall.written >= MIN_PROGRESS {
+            self.stall = None;
         }
     }
 
-    /// The other end took nothing; an error once that was so for too long.
-    fn waits(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<usize>> {
-        let within = self.within;
-        let behind = self.behind.get_or_insert_with(|| Behind {
-            over: Timer::after(within),
-            taken: 0,
+    /// Handles a write that made no progress. Returns an error once the timeout has passed.
+    fn poll_stalled(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<usize>> {
+        let timeout = self.timeout;
+        let stall = self.stall.get_or_insert_with(|| Stall {
+            deadline: Timer::after(timeout),
+            written: 0,
         });
-        match Pin::new(&mut behind.over).poll(cx) {
+        match Pin::new(&mut stall.deadline).poll(cx) {
             Poll::Ready(_) => Poll::Ready(Err(io::ErrorKind::TimedOut.into())),
             Poll::Pending => Poll::Pending,
         }
@@ -86,12 +87,12 @@
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
         match Pin::new(&mut self.io).poll_write(cx, buf) {
-            Poll::Ready(Ok(taken)) => {
-                self.took(taken, buf.len());
-                Poll::Ready(Ok(taken))
+            Poll::Ready(Ok(written)) => {
+                self.record_progress(written, buf.len());
+                Poll::Ready(Ok(written))
             }
             Poll::Ready(Err(e)) => Poll::Ready(Err(e)),
-            Poll::Pending => self.waits(cx),
+            Poll::Pending => self.poll_stalled(cx),
         }
     }
 
@@ -101,12 +102,12 @@
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         match Pin::new(&mut self.io).poll_write_vectored(cx, bufs) {
-            Poll::Ready(Ok(taken)) => {
-                self.took(taken, bufs.iter().map(|b| b.len()).sum());
-                Poll::Ready(Ok(taken))
+            Poll::Ready(Ok(written)) => {
+                self.record_progress(written, bufs.iter().map(|b| b.len()).sum());
+                Poll::Ready(Ok(written))
             }
             Poll::Ready(Err(e)) => Poll::Ready(Err(e)),
-            Poll::Pending => self.waits(cx),
+            Poll::Pending => self.poll_stalled(cx),
         }
     }
 
--- a/crates/net/tests/slow_readers.rs
+++ b/crates/net/tests/slow_readers.rs
@@ -1,4 +1,4 @@
-//! Clients that do not read their answers.
+//! Clients that read their responses slowly or not at all.
 
 #![allow(clippy::expect_used)]
 
@@ -30,79 +30,79 @@
 use rustix::net::socket;
 use rustix::net::sockopt;
 
-/// Bytes of one part of an answer.
-const PART: usize = 8 << 10;
-/// Clients that read nothing.
-const SLOW: usize = 2_000;
-/// What a slow client's system takes for it.
-const RECEIVE_BYTES: usize = 4 << 10;
-/// What is made for each of them at most: what the systems at both ends take, and a part
-/// or two that wait.
-const MADE_BYTES: usize = 1 << 20;
-/// How long a client may take next to nothing.
-const TAKEN_WITHIN: Duration = Duration::from_secs(2);
-/// Far longer than everything here takes.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Size of one chunk of a response.
+const CHUNK_BYTES: usize = 8 << 10;
+/// Number of clients that read nothing.
+const SLOW_CLIENTS: usize = 2_000;
+/// Size of the receive buffer of a slow client.
+const RECEIVE_BUFFER_BYTES: usize = 4 << 10;
+/// Maximum size of the data produced for each of them: the socket buffers at both ends, and
+/// one or two pending chunks.
+const MAX_PRODUCED_BYTES: usize = 1 << 20;
+/// Time for which a client may read almost nothing.
+const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Timeout of a test, which is far longer than the test takes.
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Answers with parts that are made as they are asked for, and counts these.
+/// Responds with chunks that are produced on demand, and counts them.
 #[derive(Debug, Default)]
-struct Endless {
-    made: Arc<AtomicUsize>,
-    came: Arc<AtomicUsize>,
+struct ChunkServer {
+    produced: Arc<AtomicUsize>,
+    requests: Arc<AtomicUsize>,
     open: Arc<AtomicUsize>,
-    /// Parts of one answer.
-    parts: usize,
+    /// Number of chunks in one response.
+    chunks: usize,
 }
 
-/// Counts an answer as open until it is dropped.
-struct Open(Arc<AtomicUsize>);
+/// Counts a response as open until it is dropped.
+struct OpenResponse(Arc<AtomicUsize>);
 
-impl Drop for Open {
+impl Drop for OpenResponse {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
-impl Handler for Endless {
+impl Handler for ChunkServer {
     fn handle(self: Arc<Self>, _: Request<Incoming>) -> HandlerFuture {
-        self.came.fetch_add(1, Ordering::SeqCst);
+        self.requests.fetch_add(1, Ordering::SeqCst);
         self.open.fetch_add(1, Ordering::SeqCst);
-        let open = Open(Arc::clone(&self.open));
-        let parts = unfold((self, open, 0), |(all, open, n)| async move {
-            if n == all.parts {
+        let open = OpenResponse(Arc::clone(&self.open));
+        let chunks = unfold((self, open, 0), |(server, open, n)| async move {
+            if n == server.chunks {
                 return None;
             }
-            all.made.fetch_add(PART, Ordering::SeqCst);
-            let part: Result<Bytes, Infallible> = Ok(Bytes::from_static(&[7; PART]));
-            Some((part.map_err(Into::into), (all, open, n + 1)))
+            server.produced.fetch_add(CHUNK_BYTES, Ordering::SeqCst);
+            let chunk: Result<Bytes, Infallible> = Ok(Bytes::from_static(&[7; CHUNK_BYTES]));
+            Some((chunk.map_err(Into::into), (server, open, n + 1)))
         });
-        Box::pin(async move { Response::new(jd_net::stream(parts)) })
+        Box::pin(async move { Response::new(jd_net::stream(chunks)) })
     }
 }
 
-fn ask(address: SocketAddr) -> TcpStream {
-    ask_on(TcpStream::connect(address).expect("a connection"))
+fn send_request(address: SocketAddr) -> TcpStream {
+    send_request_on(TcpStream::connect(address).expect("a connection"))
 }
 
-/// Asks on a connection whose system takes little for its client.
-fn ask_slowly(address: SocketAddr) -> TcpStream {
+/// Sends a request on a connection with a small receive buffer.
+fn send_request_without_reading(address: SocketAddr) -> TcpStream {
     let socket = socket(AddressFamily::INET, SocketType::STREAM, None).expect("a socket");
-    sockopt::set_socket_recv_buffer_size(&socket, RECEIVE_BYTES).expect("a small buffer");
+    sockopt::set_socket_recv_buffer_size(&socket, RECEIVE_BUFFER_BYTES).expect("a small buffer");
     connect(&socket, &address).expect("a connection");
-    ask_on(TcpStream::from(socket))
+    send_request_on(TcpStream::from(socket))
 }
 
-fn ask_on(mut client: TcpStream) -> TcpStream {
+fn send_request_on(mut client: TcpStream) -> TcpStream {
     client
         .write_all(b"GET / HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n")
         .expect("a written request");
     client
 }
 
-async fn until(what: impl Fn() -> bool) -> bool {
+async fn wait_for(condition: impl Fn() -> bool) -> bool {
     let step = Duration::from_millis(10);
-    let mut left = PATIENCE;
-    while !what() {
+    let mut left = TEST_TIMEOUT;
+    while !condition() {
         if left.is_zero() {
             return false;
         }
@@ -112,75 +112,80 @@
     true
 }
 
-/// Guards against clients that read nothing: thousands of them are asked for no more than
-/// fits on their way, are given up after a while, and another one is served meanwhile.
+/// Guards against clients that read nothing and hold resources. With thousands of them, the
+/// server produces no more data than the buffers take, closes their connections after the
+/// timeout, and serves another client in the meantime.
 #[test]
-fn those_who_read_nothing_cost_others_nothing_and_are_given_up() {
+fn clients_that_read_nothing_are_disconnected_and_do_not_affect_others() {
     let executor = Arc::new(Executor::new());
-    let endless = Arc::new(Endless {
-        parts: usize::MAX,
-        ..Endless::default()
+    let stalled = Arc::new(ChunkServer {
+        chunks: usize::MAX,
+        ..ChunkServer::default()
     });
     let limits = ServerLimits {
-        write_stall_timeout: TAKEN_WITHIN,
+        write_stall_timeout: WRITE_STALL_TIMEOUT,
         ..ServerLimits::default()
     };
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    let handler: Arc<dyn Handler> = Arc::<Endless>::clone(&endless);
+    let handler: Arc<dyn Handler> = Arc::<ChunkServer>::clone(&stalled);
     let server = HttpServer::start(Arc::clone(&executor), any, limits, handler);
     let server = server.expect("a server");
-    let short = Arc::new(Endless {
-        parts: 4,
-        ..Endless::default()
+    let short = Arc::new(ChunkServer {
+        chunks: 4,
+        ..ChunkServer::default()
     });
-    let well = HttpServer::start(Arc::clone(&executor), any, limits, short);
-    let well = well.expect("a server");
+    let other_server = HttpServer::start(Arc::clone(&executor), any, limits, short);
+    let other_server = other_server.expect("a server");
     block_on(executor.run(async {
         let address = server.address();
-        // Its connections are accepted here meanwhile.
+        // The executor accepts these connections in the meantime.
         let slow = std::thread::spawn(move || -> Vec<TcpStream> {
-            (0..SLOW).map(|_| ask_slowly(address)).collect()
+            (0..SLOW_CLIENTS)
+                .map(|_| send_request_without_reading(address))
+                .collect()
         });
-        assert!(until(|| endless.came.load(Ordering::SeqCst) == SLOW).await);
+        assert!(wait_for(|| stalled.requests.load(Ordering::SeqCst) == SLOW_CLIENTS).await);
         let served = std::thread::spawn({
-            let address = well.address();
+            let address = other_server.address();
             move || {
-                let mut answer = Vec::new();
-                ask(address).read_to_end(&mut answer).expect("an answer");
-                answer.len()
+                let mut response = Vec::new();
+                send_request(address)
+                    .read_to_end(&mut response)
+                    .expect("a response");
+                response.len()
             }
         });
-        assert!(until(|| served.is_finished()).await);
-        assert!(served.join().expect("a thread") >= 4 * PART);
-        assert!(until(|| endless.open.load(Ordering::SeqCst) == 0).await);
-        let each = endless.made.load(Ordering::SeqCst) / SLOW;
-        assert!(each <= MADE_BYTES, "{each} bytes for each");
+        assert!(wait_for(|| served.is_finished()).await);
+        assert!(served.join().expect("a thread") >= 4 * CHUNK_BYTES);
+        assert!(wait_for(|| stalled.open.load(Ordering::SeqCst) == 0).await);
+        let each = stalled.produced.load(Ordering::SeqCst) / SLOW_CLIENTS;
+        assert!(each <= MAX_PRODUCED_BYTES, "{each} bytes for each client");
         drop(slow.join().expect("the slow clients"));
     }));
 }
 
-/// Guards against a client that reads slowly and is taken for one that reads nothing.
+/// Guards against treating a client that reads slowly like one that reads nothing.
 #[test]
-fn one_who_reads_slowly_gets_its_whole_answer() {
+fn a_client_that_reads_slowly_receives_the_whole_response() {
     let executor = Arc::new(Executor::new());
     let limits = ServerLimits {
         write_stall_timeout: Duration::from_millis(300),
         ..ServerLimits::default()
     };
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    let parts = 4_000;
-    let long = Arc::new(Endless {
-        parts,
-        ..Endless::default()
+    let chunks = 4_000;
+    let long = Arc::new(ChunkServer {
+        chunks,
+        ..ChunkServer::default()
     });
     let server = HttpServer::start(Arc::clone(&executor), any, limits, long);
     let server = server.expect("a server");
     let address = server.address();
     let reader = std::thread::spawn(move || {
-        let mut client = ask(address);
+        let mut client = send_request(address);
         let mut buf = vec![0; 1 << 20];
         let mut read = 0;
-        // The pauses are the load that is replayed here.
+        // The delays simulate a slow client.
         while let Ok(n @ 1..) = client.read(&mut buf) {
             read += n;
             std::thread::sleep(Duration::from_millis(5));
@@ -188,7 +193,7 @@
         read
     });
     block_on(executor.run(async {
-        assert!(until(|| reader.is_finished()).await);
+        assert!(wait_for(|| reader.is_finished()).await);
     }));
-    assert!(reader.join().expect("a reader") >= parts * PART);
+    assert!(reader.join().expect("a reader") >= chunks * CHUNK_BYTES);
 }
--- a/crates/net/tests/written.rs
+++ b/crates/net/tests/written.rs
@@ -1,4 +1,4 @@
-//! When a request counts as handed to a connection.
+//! When a request is written to a connection.
 
 #![allow(clippy::expect_used, clippy::panic)]
 
@@ -18,62 +18,62 @@
 use jd_net::HttpPool;
 use jd_net::SendError;
 
-/// More connections than a listener keeps that nobody accepts.
-const MANY: usize = 10_000;
-/// Far longer than a connection on this machine takes that opens at all.
-const OPENS_WITHIN: Duration = Duration::from_millis(200);
+/// More connections than fit into the backlog of a listener.
+const MAX_CONNECTIONS: usize = 10_000;
+/// Timeout for opening a connection, which is far longer than a successful one takes.
+const OPEN_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// A listener that takes no further connection: packets that open one are dropped,
-/// as by a machine that has gone dark. The connections keep it so.
-fn dark() -> (TcpListener, SocketAddr, Vec<TcpStream>) {
+/// A listener with a full backlog. It drops the packets that open further connections, like
+/// a host that is down. The returned connections keep the backlog full.
+fn unresponsive_listener() -> (TcpListener, SocketAddr, Vec<TcpStream>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address");
-    let opened = (0..MANY).map_while(|_| TcpStream::connect_timeout(&address, OPENS_WITHIN).ok());
+    let opened =
+        (0..MAX_CONNECTIONS).map_while(|_| TcpStream::connect_timeout(&address, OPEN_TIMEOUT).ok());
     let opened = opened.collect();
     (listener, address, opened)
 }
 
-/// An upstream goes dark. Results that a request works on were given up 50 ms after
-/// it was chosen, while the connection was still to open; the next upstream found
-/// them gone, and all stages were done again.
+/// An upstream is down. The stage results that a request uses were released 50 ms after the
+/// upstream was chosen, while its connection was still being opened. The next upstream then
+/// found them missing, and all stages were run again.
 #[test]
 fn a_request_is_not_written_before_a_connection_is_open() {
-    let (_listener, address, _opened) = dark();
+    let (_listener, address, _opened) = unresponsive_listener();
     let executor = Arc::new(Executor::new());
     let pool = HttpPool::new(Arc::clone(&executor), Clock::start());
     let written = Cell::new(false);
-    let note = || {
+    let may_send = || {
         written.set(true);
         true
     };
     let req = Request::new(jd_net::empty());
-    let patience = Duration::from_secs(5);
-    let sent = pool.send_if(address, req, patience, false, note);
+    let timeout = Duration::from_secs(5);
+    let sent = pool.send_if(address, req, timeout, false, may_send);
     let sent = block_on(executor.run(sent));
     assert!(matches!(sent, Some(Err(SendError::NotSent))), "{sent:?}");
     assert!(!written.get());
 }
 
-/// What may not be sent any more once its connection is open is not sent: no byte of it
-/// arrives.
+/// No byte of a request is written if it may no longer be sent once its connection is open.
 #[test]
 fn a_request_that_may_not_be_sent_is_not_written() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address");
-    let arrived = thread::spawn(move || {
+    let received = thread::spawn(move || {
         let (mut connection, _) = listener.accept().expect("a connection");
-        let mut arrived = Vec::new();
-        connection.read_to_end(&mut arrived).expect("an end");
-        arrived
+        let mut received = Vec::new();
+        connection.read_to_end(&mut received).expect("an end");
+        received
     });
     let executor = Arc::new(Executor::new());
     let pool = HttpPool::new(Arc::clone(&executor), Clock::start());
     let req = Request::new(jd_net::empty());
-    let patience = Duration::from_secs(5);
-    let sent = pool.send_if(address, req, patience, false, || false);
+    let timeout = Duration::from_secs(5);
+    let sent = pool.send_if(address, req, timeout, false, || false);
     let sent = block_on(executor.run(sent));
     assert!(matches!(sent, Some(Err(SendError::NotSent))), "{sent:?}");
     drop(pool);
     drop(executor);
-    assert!(arrived.join().expect("what arrived").is_empty());
+    assert!(received.join().expect("the received bytes").is_empty());
 }
