--- a/crates/net/src/http_pool.rs
+++ b/crates/net/src/http_pool.rs
@@ -245,7 +245,10 @@
             }
             None => {
                 let retired = self.shared.retire_silent(address, key, timeout);
-                log::info!(address:% = address, retired; "no response on a connection; retired it and older silent ones");
+                log::info!(
+                    address:% = address, retired;
+                    "no response on a connection; retired it and older silent ones"
+                );
                 Sent::Done(Box::new(None))
             }
         }
--- a/crates/policy/src/admission_queue.rs
+++ b/crates/policy/src/admission_queue.rs
@@ -55,11 +55,11 @@
 /// # Examples
 ///
 /// ```
-/// use jd_policy::QueuePolicy;
-/// use jd_policy::SlotDecision;
 /// use jd_policy::AdmissionQueue;
 /// use jd_policy::QueueEntry;
 /// use jd_policy::QueueEntryId;
+/// use jd_policy::QueuePolicy;
+/// use jd_policy::SlotDecision;
 /// use jd_types::CustomerKey;
 /// use jd_types::MonoTime;
 /// use jd_types::Priority;
@@ -76,7 +76,8 @@
 /// let service = Duration::from_millis(10);
 /// assert_eq!(queue.request_slot(MonoTime::ZERO, entry(1), service), SlotDecision::Start);
 /// assert_eq!(queue.request_slot(MonoTime::ZERO, entry(2), service), SlotDecision::Queued);
-/// assert!(matches!(queue.request_slot(MonoTime::ZERO, entry(3), service), SlotDecision::WouldMiss(_)));
+/// let decision = queue.request_slot(MonoTime::ZERO, entry(3), service);
+/// assert!(matches!(decision, SlotDecision::WouldMiss(_)));
 /// ```
 #[derive(Debug)]
 pub struct AdmissionQueue {
