--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -24,26 +24,26 @@
 
 use crate::Dialect;
 use crate::Store;
+use crate::batch_dispatcher::BatchDispatcher;
+use crate::caller_api::CallerApi;
 use crate::crash_reporter::CrashReporter;
-use crate::front::Front;
 use crate::peer_api::PeerApi;
 use crate::peer_api::PeerHandler;
-use crate::peers::Peers;
+use crate::peer_client::PeerClient;
 use crate::quarantine_coordinator::QuarantineCoordinator;
-use crate::result_free::ResultFree;
-use crate::result_release::ResultRelease;
+use crate::result_free_queue::ResultFreeQueue;
+use crate::result_release_queue::ResultReleaseQueue;
+use crate::revision_poller::RevisionPoller;
 use crate::service_apis::LocateApi;
 use crate::service_apis::MetricsApi;
 use crate::service_apis::ReadyApi;
-use crate::stage_batches::StageBatches;
 use crate::stage_runner::StageRunner;
 use crate::state::State;
+use crate::store_applier::StoreApplier;
 use crate::store_call::StoreCallCounts;
 use crate::store_follower::StoreFollower;
-use crate::store_intake::StoreIntake;
 use crate::store_lease::StoreLease;
 use crate::store_link::StoreLink;
-use crate::store_proof::StoreProof;
 use crate::store_reader::StoreReader;
 
 /// The part of the grace in which new callers are still taken, in hundredths:
@@ -77,7 +77,7 @@
 
 impl fmt::Debug for Gateway {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "Gateway({})", self.state.me.incarnation)
+        write!(f, "Gateway({})", self.state.own_entry.incarnation)
     }
 }
 
@@ -91,33 +91,40 @@
         dialect: Arc<dyn Dialect>,
         store: Arc<dyn Store>,
     ) -> Result<Gateway, StartError> {
-        let me = InstanceEntry {
+        let own_entry = InstanceEntry {
             incarnation: Incarnation::new(fastrand::u64(1..)),
-            callers: settings.callers,
-            peers: settings.peers,
+            caller_address: settings.callers,
+            peer_address: settings.peers,
             zone: settings.zone.clone(),
             strength: Strength::new(settings.core_percent, settings.link_mbps),
             leaving: false,
         };
         let executor = Arc::clone(executor);
-        let state = State::new(settings, clock, Arc::clone(&executor), pool, dialect, me);
+        let state = State::new(
+            settings,
+            clock,
+            Arc::clone(&executor),
+            pool,
+            dialect,
+            own_entry,
+        );
         let state = Arc::new(state);
-        let free = Arc::new(ResultFree::new(Arc::clone(&state)));
-        let batches = StageBatches::new(Arc::clone(&state), Arc::clone(&free));
-        let batches = Arc::new(batches);
-        let peers = Arc::new(Peers::new(Arc::clone(&state)));
-        let release = Arc::new(ResultRelease {
+        let free_queue = Arc::new(ResultFreeQueue::new(Arc::clone(&state)));
+        let dispatcher = BatchDispatcher::new(Arc::clone(&state), Arc::clone(&free_queue));
+        let dispatcher = Arc::new(dispatcher);
+        let peers = Arc::new(PeerClient::new(Arc::clone(&state)));
+        let release_queue = Arc::new(ResultReleaseQueue {
             state: Arc::clone(&state),
-            batches: Arc::clone(&batches),
+            dispatcher: Arc::clone(&dispatcher),
             peers: Arc::clone(&peers),
-            free: Arc::clone(&free),
-            gathered: Mutex::default(),
+            free_queue: Arc::clone(&free_queue),
+            pending: Mutex::default(),
         });
         let stages = Arc::new(StageRunner {
             state: Arc::clone(&state),
-            batches: Arc::clone(&batches),
+            dispatcher: Arc::clone(&dispatcher),
             peers: Arc::clone(&peers),
-            release: Arc::clone(&release),
+            release_queue: Arc::clone(&release_queue),
         });
         let link = Arc::new(StoreLink {
             state: Arc::clone(&state),
@@ -134,35 +141,35 @@
         let lease = Arc::new(StoreLease {
             link: Arc::clone(&link),
         });
-        let proof = Arc::new(StoreProof {
+        let poller = Arc::new(RevisionPoller {
             link: Arc::clone(&link),
         });
-        let intake = Arc::new(StoreIntake {
+        let applier = Arc::new(StoreApplier {
             state: Arc::clone(&state),
             store,
         });
         let reader = StoreReader {
             link: Arc::clone(&link),
-            intake: Arc::clone(&intake),
+            applier: Arc::clone(&applier),
         };
         let follower = Arc::new(StoreFollower {
             link,
-            intake,
+            applier,
             reader,
             peers: Arc::clone(&peers),
         });
-        let front = Front {
+        let caller_api = CallerApi {
             state: Arc::clone(&state),
             stages,
         };
         let peer_api = PeerApi {
             state: Arc::clone(&state),
-            batches: Arc::clone(&batches),
+            dispatcher: Arc::clone(&dispatcher),
             coordinator: Arc::clone(&coordinator),
         };
         let s = &state.settings;
         let limits = caller_limits(s, &CallerLimits::default());
-        let callers = Arc::new(listen(&state, s.callers, limits, Arc::new(front))?);
+        let callers = Arc::new(listen(&state, s.callers, limits, Arc::new(caller_api))?);
         let own = ServerLimits::default();
         let servers = vec![
             listen(&state, s.ready, own, Arc::new(ReadyApi(Arc::clone(&state))))?,
@@ -181,27 +188,27 @@
             listen(&state, s.peers, own, Arc::new(PeerHandler::new(peer_api)))?,
         ];
         let following = follow_limits(Arc::clone(&state), Arc::clone(&callers));
-        let reporting = Arc::clone(&lease.link).report();
+        let reporting = Arc::clone(&lease.link).log_call_counts();
         let tasks = vec![
             executor.spawn(following),
             executor.spawn(Arc::clone(&follower).follow()),
-            executor.spawn(Arc::clone(&follower).catch_up()),
-            executor.spawn(follower.expire()),
-            executor.spawn(proof.keep()),
-            executor.spawn(Arc::clone(&lease).keep()),
+            executor.spawn(Arc::clone(&follower).fetch_newer_deployment()),
+            executor.spawn(follower.expire_entries()),
+            executor.spawn(poller.run()),
+            executor.spawn(Arc::clone(&lease).keep_registered()),
             executor.spawn(Arc::clone(&lease).remove_silent()),
             executor.spawn(reporting),
-            executor.spawn(peers.beat()),
-            executor.spawn(batches.tick()),
-            executor.spawn(release.run()),
-            executor.spawn(free.run()),
+            executor.spawn(peers.send_heartbeats()),
+            executor.spawn(dispatcher.tick()),
+            executor.spawn(release_queue.run()),
+            executor.spawn(free_queue.run()),
             executor.spawn(coordinator.run()),
             executor.spawn(Arc::clone(&reporter).run()),
-            executor.spawn(reporter.answer()),
+            executor.spawn(reporter.report_recent_runs()),
         ];
         log::info!(
             instance = state.settings.name.as_str(),
-            incarnation:% = state.me.incarnation,
+            incarnation:% = state.own_entry.incarnation,
             callers:% = state.settings.callers;
             "started"
         );
@@ -222,7 +229,7 @@
         let began = self.state.now();
         let grace = self.state.settings.grace;
         log::info!(in_flight = self.state.in_flight(); "stopping");
-        self.state.leave();
+        self.state.start_leaving();
         self.lease.withdraw().await;
         let last = began + grace.saturating_sub(GRACE_MARGIN);
         let accept_until = began + grace * ACCEPT_PERCENT / 100;
@@ -261,7 +268,7 @@
     ServerLimits {
         connections: settings.max_connections,
         head_bytes: limits.head_bytes,
-        head_timeout: limits.idle.max(limits.head_within),
+        head_timeout: limits.idle_timeout.max(limits.head_timeout),
         http1_only: true,
         ..ServerLimits::default()
     }
--- a/crates/gateway/src/peer_api.rs
+++ b/crates/gateway/src/peer_api.rs
@@ -30,21 +30,21 @@
 use tonic::Status;
 use tower_service::Service;
 
+use crate::batch_dispatcher::BatchDispatcher;
 use crate::peer_instance;
 use crate::peer_limits;
-use crate::peer_news;
 use crate::peer_quarantine;
+use crate::peer_replication;
 use crate::peer_stages;
-use crate::quarantine::Source;
+use crate::quarantine::QuarantineSource;
 use crate::quarantine_coordinator::QuarantineCoordinator;
-use crate::stage_batches::StageBatches;
 use crate::state::State;
 
 /// Answers other instances.
 #[derive(Debug)]
 pub(crate) struct PeerApi {
     pub(crate) state: Arc<State>,
-    pub(crate) batches: Arc<StageBatches>,
+    pub(crate) dispatcher: Arc<BatchDispatcher>,
     pub(crate) coordinator: Arc<QuarantineCoordinator>,
 }
 
@@ -57,23 +57,25 @@
         let beat = req.into_inner();
         let now = self.state.now();
         let told = peer_quarantine::quarantine_of(beat.quarantine);
-        self.state.quarantine.take(now, Source::Beat, told);
-        peer_limits::take(&self.state, beat.limits);
+        self.state
+            .quarantine
+            .apply(now, QuarantineSource::Beat, told);
+        peer_limits::record(&self.state, beat.limits);
         let from = Incarnation::new(beat.incarnation);
-        self.state.knowledge().instances.heard(
+        self.state.cluster().instances.record_heartbeat(
             now,
             from,
             Heartbeat {
                 leaving: beat.leaving,
                 ready: beat.ready,
-                has_read: beat.has_read,
+                store_loaded: beat.has_read,
             },
         );
-        let backlogs = self.batches.backlogs();
+        let backlogs = self.dispatcher.backlogs();
         for (shard, wait) in &backlogs {
             let heard = (now, *wait);
-            let mut knowledge = self.state.knowledge();
-            knowledge.backlogs.insert(shard.clone(), heard);
+            let mut cluster = self.state.cluster();
+            cluster.backlogs.insert(shard.clone(), heard);
         }
         let backlogs = backlogs.into_iter();
         let backlogs = backlogs.map(|(shard, wait)| Backlog {
@@ -81,21 +83,21 @@
             wait_ms: u32::try_from(wait.as_millis()).unwrap_or(u32::MAX),
         });
         let unlisted: Vec<Instance> = {
-            let knowledge = self.state.knowledge();
-            let unlisted = knowledge.instances.unlisted(now);
+            let cluster = self.state.cluster();
+            let unlisted = cluster.instances.unlisted(now);
             unlisted.map(peer_instance::wire_instance).collect()
         };
         Ok(tonic::Response::new(BeatReply {
-            incarnation: self.state.me.incarnation.get(),
+            incarnation: self.state.own_entry.incarnation.get(),
             leaving: self.state.is_leaving(),
             ready: self.state.is_ready(),
-            proof: peer_news::wire_proof(&self.state),
+            proof: peer_replication::wire_proof(&self.state),
             backlogs: backlogs.collect(),
             unlisted,
-            has_read: self.state.has_read(),
+            has_read: self.state.store_loaded(),
             quarantine: peer_quarantine::wire_quarantine(&self.state.quarantine, now),
-            limits: peer_limits::told(&self.state),
-            version: self.state.knowledge().deployment_version(),
+            limits: peer_limits::wire_limits(&self.state),
+            version: self.state.cluster().deployment_version(),
         }))
     }
 
@@ -103,7 +105,7 @@
         &self,
         req: tonic::Request<FollowRequest>,
     ) -> Result<tonic::Response<FollowReply>, Status> {
-        let reply = peer_news::answer(&self.state, req.into_inner()).await;
+        let reply = peer_replication::handle_follow(&self.state, req.into_inner()).await;
         Ok(tonic::Response::new(reply))
     }
 
@@ -112,7 +114,7 @@
         req: tonic::Request<CrashReport>,
     ) -> Result<tonic::Response<CrashReportReply>, Status> {
         let report = peer_quarantine::report_of(req.into_inner(), self.state.now());
-        self.coordinator.take(report);
+        self.coordinator.record_report(report);
         Ok(tonic::Response::new(CrashReportReply {}))
     }
 
@@ -120,7 +122,7 @@
         &self,
         req: tonic::Request<PermitRequest>,
     ) -> Result<tonic::Response<PermitReply>, Status> {
-        let reply = peer_limits::answer(&self.state, req.into_inner());
+        let reply = peer_limits::handle_permit_request(&self.state, req.into_inner());
         Ok(tonic::Response::new(reply))
     }
 
@@ -129,7 +131,7 @@
         req: tonic::Request<ReleaseRequest>,
     ) -> Result<tonic::Response<ReleaseReply>, Status> {
         let results = req.into_inner().results.into_iter();
-        self.batches
+        self.dispatcher
             .release(results.map(CompactString::from).collect());
         Ok(tonic::Response::new(ReleaseReply {}))
     }
@@ -142,7 +144,7 @@
         let shard = req.shard.clone().map(peer_stages::shard_of);
         let shard = shard.ok_or_else(|| Status::invalid_argument("no shard is named"))?;
         let job = peer_stages::job_of(req, self.state.now())?;
-        let reply = match self.batches.run(shard, job).await {
+        let reply = match self.dispatcher.run(shard, job).await {
             Ok(results) => StagesReply {
                 results: results.into_iter().map(String::from).collect(),
                 ..StagesReply::default()
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -20,7 +20,7 @@
 
 /// From whom a state was heard.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Source {
+pub(crate) enum QuarantineSource {
     /// Decided here.
     Own,
     /// Another instance's heartbeat.
@@ -31,7 +31,7 @@
 
 /// The state of a request as it is told.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Told {
+pub(crate) struct QuarantineUpdate {
     pub(crate) content: Content,
     pub(crate) state: QuarantineState,
     /// Until it lapses.
@@ -47,7 +47,7 @@
     /// Signals that others are to be told at once, and that who remembers a run of a
     /// suspect is to say so.
     to_tell: Arc<Signal>,
-    pub(crate) to_answer: Signal,
+    pub(crate) runs_wanted: Signal,
 }
 
 impl Quarantine {
@@ -57,16 +57,16 @@
             recent: Mutex::default(),
             run_events: RunEvents::new(),
             to_tell,
-            to_answer: Signal::new(),
+            runs_wanted: Signal::new(),
         }
     }
 
     /// For how long a request is kept from upstreams; none if it is not.
-    pub(crate) fn left(&self, now: MonoTime, content: Content) -> Option<Duration> {
+    pub(crate) fn time_left(&self, now: MonoTime, content: Content) -> Option<Duration> {
         let list = self.list.load();
         match list.is_empty() {
             true => None,
-            false => list.quarantine_left(now, content),
+            false => list.quarantine_remaining(now, content),
         }
     }
 
@@ -75,21 +75,26 @@
     }
 
     /// Takes in what is told.
-    pub(crate) fn take(&self, now: MonoTime, source: Source, told: impl IntoIterator<Item = Told>) {
+    pub(crate) fn apply(
+        &self,
+        now: MonoTime,
+        source: QuarantineSource,
+        told: impl IntoIterator<Item = QuarantineUpdate>,
+    ) {
         for t in told {
-            let known = self.list.load().of(now, t.content);
+            let known = self.list.load().get(now, t.content);
             if known.is_some_and(|h| h.state >= t.state) {
                 continue;
             }
             let mut is_news = false;
             self.list.rcu(|s| {
                 let mut next = QuarantineList::clone(s);
-                is_news = next.take(now, t.content, t.state, t.left);
+                is_news = next.merge(now, t.content, t.state, t.left);
                 next
             });
             if is_news {
-                self.to_answer.give();
-                self.to_tell.give();
+                self.runs_wanted.notify();
+                self.to_tell.notify();
             }
             // Suspicions are logged where they arise: there can be many.
             if is_news && t.state.phase != QuarantinePhase::Suspected {
@@ -106,32 +111,32 @@
     }
 
     /// The store has this of a request; none if nothing any more.
-    pub(crate) fn note_stored(&self, content: Content, state: Option<QuarantineState>) {
+    pub(crate) fn set_stored(&self, content: Content, state: Option<QuarantineState>) {
         self.list.rcu(|s| {
             let mut next = QuarantineList::clone(s);
-            next.stored(content, state);
+            next.set_stored(content, state);
             next
         });
     }
 
     /// The store has something of these requests and of no others.
-    pub(crate) fn relist(&self, stored: &[Content]) {
+    pub(crate) fn retain_stored(&self, stored: &[Content]) {
         if self.list.load().is_empty() {
             return;
         }
         self.list.rcu(|s| {
             let mut next = QuarantineList::clone(s);
-            next.relist(stored);
+            next.replace_stored(stored);
             next
         });
     }
 
     /// A request ran to its end at a service.
-    pub(crate) fn note_ran(&self, now: MonoTime, service: &str, content: Content) {
-        lock(&self.recent).note(now, service, content);
-        let held = self.list.load().of(now, content);
-        if held.is_some_and(|h| h.state.is_open()) {
-            self.run_events.add(RunEvent::Ran(CompletedRun {
+    pub(crate) fn record_completed(&self, now: MonoTime, service: &str, content: Content) {
+        lock(&self.recent).record(now, service, content);
+        let held = self.list.load().get(now, content);
+        if held.is_some_and(|h| h.state.is_active()) {
+            self.run_events.add(RunEvent::Completed(CompletedRun {
                 service: service.into(),
                 content,
                 at: now,
@@ -140,11 +145,11 @@
     }
 
     /// What ran well here lately of that against which something is held.
-    pub(crate) fn remembered(&self, now: MonoTime) -> Vec<CompletedRun> {
+    pub(crate) fn recent_runs(&self, now: MonoTime) -> Vec<CompletedRun> {
         let list = self.list.load();
-        let open = list.all(now).filter(|(_, h)| h.state.is_open());
+        let open = list.entries(now).filter(|(_, h)| h.state.is_active());
         let recent = lock(&self.recent);
-        open.flat_map(|(content, _)| recent.of(now, content))
+        open.flat_map(|(content, _)| recent.runs_of(now, content))
             .collect()
     }
 }
--- a/crates/gateway/src/quarantine_coordinator.rs
+++ b/crates/gateway/src/quarantine_coordinator.rs
@@ -12,7 +12,7 @@
 use jd_serving::Content;
 use jd_serving::CrashEvidence;
 use jd_serving::Finding;
-use jd_serving::HELD_FOR;
+use jd_serving::QUARANTINE_TTL;
 use jd_serving::QuarantineEntry;
 use jd_serving::QuarantinePhase;
 use jd_serving::QuarantineState;
@@ -20,12 +20,12 @@
 
 use crate::QuarantineRecord;
 use crate::StoreError;
-use crate::peer_quarantine::Report;
-use crate::quarantine::Source;
-use crate::quarantine::Told;
+use crate::peer_quarantine::RunReport;
+use crate::quarantine::QuarantineSource;
+use crate::quarantine::QuarantineUpdate;
 use crate::signal::Signal;
 use crate::store_call::StoreCall;
-use crate::store_link::CALL_WITHIN;
+use crate::store_link::CALL_TIMEOUT;
 use crate::store_link::StoreLink;
 
 /// How often it is looked whether time has brought a finding.
@@ -60,16 +60,16 @@
     }
 
     /// Takes in what an instance saw.
-    pub(crate) fn take(&self, report: Report) {
+    pub(crate) fn record_report(&self, report: RunReport) {
         let state = &self.link.state;
         let now = state.now();
         let mut evidence = lock(&self.evidence);
         for end in report.ends {
-            evidence.ended(now, end);
+            evidence.record_crash(now, end);
         }
         let mut cleared = Vec::new();
         for run in report.completed_runs {
-            if evidence.completed(&run) || self.is_later(now, &run) {
+            if evidence.record_completed_run(&run) || self.is_later(now, &run) {
                 cleared.push(run.content);
             }
         }
@@ -79,7 +79,7 @@
                 self.release(now, content, "it ran to its end");
             }
         }
-        self.told.give();
+        self.told.notify();
     }
 
     /// True if a request ran well after something was held against it. So one that was
@@ -88,12 +88,12 @@
     /// Guards against the pieces of its stages, which run well at other services before
     /// it ends each upstream that runs itself: each released it.
     fn is_later(&self, now: MonoTime, run: &CompletedRun) -> bool {
-        if self.link.state.does_stages(&run.service) {
+        if self.link.state.serves_stages(&run.service) {
             return false;
         }
         let list = self.link.state.quarantine.list();
-        let held = list.of(now, run.content);
-        held.is_some_and(|h| run.at > h.since())
+        let held = list.get(now, run.content);
+        held.is_some_and(|h| run.at > h.first_recorded())
     }
 
     /// Looks for good at what ended, and keeps the quarantine in the store.
@@ -104,7 +104,7 @@
                 true => LOOK_IDLE,
                 false => LOOK_EVERY,
             };
-            self.told.wait(pause).await;
+            self.told.wait_timeout(pause).await;
             self.look();
             let now = self.link.state.now();
             if self.is_idle() || now < write_from || !self.is_first() {
@@ -126,7 +126,7 @@
 
     fn is_first(&self) -> bool {
         let state = &self.link.state;
-        state.coordinators().first() == Some(&state.me.peers)
+        state.coordinators().first() == Some(&state.own_entry.peer_address)
     }
 
     fn look(&self) {
@@ -142,7 +142,7 @@
             return;
         }
         let table = state.upstreams.load();
-        evidence.check(now, |id, start| table.start_of(id) == Some(start));
+        evidence.discard_listed(now, |id, start| table.start_of(id) == Some(start));
         let findings = evidence.findings(now);
         drop(evidence);
         // Who held it has the evidence, and may not be the first any more.
@@ -170,23 +170,23 @@
         log::warn!(
             content:% = finding.content,
             phase = phase.as_str(),
-            ends = finding.ends,
-            longest_ms = finding.longest.as_millis() as u64;
+            ends = finding.crashes,
+            longest_ms = finding.longest_run.as_millis() as u64;
             "upstreams ended with a request"
         );
         if phase == QuarantinePhase::Quarantined {
             let list = quarantine.list();
             let mut held_here = lock(&self.held_here);
-            held_here.retain(|c| list.of(now, *c).is_some());
+            held_here.retain(|c| list.get(now, *c).is_some());
             held_here.insert(finding.content);
         }
-        self.decide(now, finding.content, next, HELD_FOR);
+        self.decide(now, finding.content, next, QUARANTINE_TTL);
     }
 
     fn release(&self, now: MonoTime, content: Content, why: &'static str) {
         let quarantine = &self.link.state.quarantine;
-        let held = quarantine.list().of(now, content);
-        let Some(held) = held.filter(|h| h.state.is_open()) else {
+        let held = quarantine.list().get(now, content);
+        let Some(held) = held.filter(|h| h.state.is_active()) else {
             return;
         };
         log::warn!(content:% = content, reason = why; "request released from quarantine");
@@ -194,18 +194,18 @@
             phase: QuarantinePhase::Released,
             ..held.state
         };
-        self.decide(now, content, next, held.lapses.since(now));
+        self.decide(now, content, next, held.expires_at.since(now));
     }
 
     fn decide(&self, now: MonoTime, content: Content, next: QuarantineState, left: Duration) {
-        let told = Told {
+        let told = QuarantineUpdate {
             content,
             state: next,
             left,
         };
         let state = &self.link.state;
         state.metrics.quarantine(next.phase.as_str());
-        state.quarantine.take(now, Source::Own, [told]);
+        state.quarantine.apply(now, QuarantineSource::Own, [told]);
     }
 
     /// Has the store keep what it does not have, for as long as that is held.
@@ -214,8 +214,8 @@
     /// would end three upstreams more. A suspicion is not worth a call.
     async fn write(&self, now: MonoTime) -> Result<(), StoreError> {
         let list = self.link.state.quarantine.list();
-        for (content, held) in list.all(now) {
-            if lacks(&held) && held.lapses.since(now) > LEAST_LEASE {
+        for (content, held) in list.entries(now) {
+            if lacks(&held) && held.expires_at.since(now) > LEAST_LEASE {
                 self.write_one(now, content, held).await?;
             }
         }
@@ -228,10 +228,10 @@
         content: Content,
         held: QuarantineEntry,
     ) -> Result<(), StoreError> {
-        let left = held.lapses.since(now);
+        let left = held.expires_at.since(now);
         let StoreLink { state, store, .. } = &*self.link;
         let taking = store.lease(left);
-        let lease = self.link.call(StoreCall::Lease, CALL_WITHIN, taking);
+        let lease = self.link.call(StoreCall::Lease, CALL_TIMEOUT, taking);
         let lease = lease.await?;
         let record = QuarantineRecord {
             content,
@@ -241,9 +241,9 @@
         let writing = store.write_quarantine(&record, lease);
         let written = self
             .link
-            .call(StoreCall::WriteQuarantine, CALL_WITHIN, writing);
+            .call(StoreCall::WriteQuarantine, CALL_TIMEOUT, writing);
         written.await?;
-        state.quarantine.note_stored(content, Some(held.state));
+        state.quarantine.set_stored(content, Some(held.state));
         Ok(())
     }
 }
--- a/crates/gateway/src/store_proof.rs
+++ b/crates/gateway/src/revision_poller.rs
@@ -4,12 +4,12 @@
 use std::time::Duration;
 
 use async_io::Timer;
-use jd_serving::NewsSource;
+use jd_serving::UpdateSource;
 
 use crate::StoreError;
 use crate::store_call::StoreCall;
 use crate::store_link::StoreLink;
-use crate::store_link::patience;
+use crate::store_link::call_timeout;
 
 /// Pause after a first failed question, and what each further one makes of it. Callers
 /// who show credentials are refused from a few seconds into an absence until this
@@ -21,14 +21,14 @@
 
 /// Asks for the store's revision: the proof that nothing in force is missing.
 #[derive(Debug)]
-pub(crate) struct StoreProof {
+pub(crate) struct RevisionPoller {
     pub(crate) link: Arc<StoreLink>,
 }
 
-impl StoreProof {
+impl RevisionPoller {
     /// Asks again and again while this instance hears the store itself; one that
     /// follows another has its proof from there. Another's proof does as well.
-    pub(crate) async fn keep(self: Arc<Self>) {
+    pub(crate) async fn run(self: Arc<Self>) {
         let StoreLink { state, store, .. } = &*self.link;
         let mut failures: u32 = 0;
         loop {
@@ -38,30 +38,34 @@
                     Timer::after(retry_pause(failures)).await;
                 }
             }
-            let follows = state.news_source() != NewsSource::Store;
+            let follows = state.news_source() != UpdateSource::Store;
             // Proof of nothing is worth nothing: of a fleet that starts at once all
             // would ask several times a second beside reading.
-            if follows || !state.has_read() {
+            if follows || !state.store_loaded() {
                 failures = 0;
                 continue;
             }
             let asked = state.now();
             let asking = store.revision();
-            let patience = patience(failures);
+            let patience = call_timeout(failures);
             match self.link.call(StoreCall::Confirm, patience, asking).await {
-                Ok(revision) if revision.era < state.knowledge().mirror.revision().era => {
+                Ok(revision) if revision.era < state.cluster().mirror.revision().era => {
                     failures = failures.saturating_add(1);
-                    self.link.failed(StoreCall::Confirm, StoreError::OtherEra);
+                    self.link
+                        .call_failed(StoreCall::Confirm, StoreError::EraMismatch);
                 }
                 Ok(revision) => {
                     failures = 0;
-                    self.link.succeeded();
-                    state.knowledge().freshness.confirmed(asked, revision);
-                    state.news.notify(usize::MAX);
+                    self.link.call_succeeded();
+                    state
+                        .cluster()
+                        .freshness
+                        .record_confirmation(asked, revision);
+                    state.changes.notify(usize::MAX);
                 }
                 Err(e) => {
                     failures = failures.saturating_add(1);
-                    self.link.failed(StoreCall::Confirm, e);
+                    self.link.call_failed(StoreCall::Confirm, e);
                 }
             }
         }
@@ -75,7 +79,7 @@
         let due = due.mul_f64(0.85 + 0.3 * fastrand::f64());
         let mut wait = due;
         loop {
-            let lost = state.proof_wanted.wait(wait).await;
+            let lost = state.proof_requested.wait_timeout(wait).await;
             match state.proof_age() {
                 Some(age) if !lost && age < due => wait = due - age,
                 _ => return,
--- a/crates/gateway/src/store_follower.rs
+++ b/crates/gateway/src/store_follower.rs
@@ -5,20 +5,20 @@
 
 use async_io::Timer;
 use futures_lite::FutureExt;
-use jd_serving::FirstSources;
-use jd_serving::News;
-use jd_serving::NewsSource;
-use jd_serving::SourceState;
+use jd_serving::BootstrapSources;
+use jd_serving::SourceHealth;
+use jd_serving::StoreUpdate;
+use jd_serving::UpdateSource;
 use jd_types::Incarnation;
 
 use crate::StoreError;
-use crate::peer_news::Heard;
-use crate::peers::Peers;
+use crate::peer_client::PeerClient;
+use crate::peer_replication::SourceReply;
+use crate::store_applier::StoreApplier;
 use crate::store_call::StoreCall;
-use crate::store_intake::StoreIntake;
-use crate::store_link::CALL_WITHIN;
+use crate::store_link::CALL_TIMEOUT;
 use crate::store_link::StoreLink;
-use crate::store_link::patience;
+use crate::store_link::call_timeout;
 use crate::store_reader::StoreReader;
 
 /// How long one watch waits for changes: the longest that the store allows.
@@ -65,9 +65,9 @@
 #[derive(Debug)]
 pub(crate) struct StoreFollower {
     pub(crate) link: Arc<StoreLink>,
-    pub(crate) intake: Arc<StoreIntake>,
+    pub(crate) applier: Arc<StoreApplier>,
     pub(crate) reader: StoreReader,
-    pub(crate) peers: Arc<Peers>,
+    pub(crate) peers: Arc<PeerClient>,
 }
 
 /// What a round of following came to.
@@ -89,15 +89,15 @@
         let mut failures: u32 = 0;
         loop {
             if round == Round::Lost {
-                match self.reader.read_all(patience(failures)).await {
+                match self.reader.read_all(call_timeout(failures)).await {
                     Ok(()) => {
                         round = Round::Kept;
                         failures = 0;
                     }
                     Err(e) => {
                         failures = failures.saturating_add(1);
-                        self.link.failed(StoreCall::Page, e);
-                        if e == StoreError::OtherEra {
+                        self.link.call_failed(StoreCall::Page, e);
+                        if e == StoreError::EraMismatch {
                             // The store answers, so that nothing else waits.
                             Timer::after(NEWS_BEHIND).await;
                         }
@@ -119,9 +119,9 @@
         let mut failures: u32 = 0;
         // A call that hangs since the store was away is given up soon: what is read
         // first is little. Each third may take as long as one of a slow store does.
-        while let Err(e) = self.read_first(patience(failures + 1)).await {
+        while let Err(e) = self.read_first(call_timeout(failures + 1)).await {
             failures = failures.saturating_add(1);
-            self.link.failed(StoreCall::Page, e);
+            self.link.call_failed(StoreCall::Page, e);
             Timer::after(first_read_pause(failures)).await;
         }
     }
@@ -133,12 +133,12 @@
     /// 985 that read only the list of each other kept it busy for ten.
     async fn read_first(&self, patience: Duration) -> Result<(), StoreError> {
         let state = &self.link.state;
-        if state.settings.first_start && state.listed.set() {
+        if state.settings.first_start && state.instances_listed.set() {
             // There are no entries of earlier starts. Its own is written meanwhile.
             Timer::after(START_SPREAD).await;
         }
         let sample = self.reader.read_sample(patience).await?;
-        match FirstSources::of_sample(state.me.incarnation, &sample) {
+        match BootstrapSources::from_sample(state.own_entry.incarnation, &sample) {
             Some(sources) => self.hear_first(sources).await,
             None => self.read_small_fleet(patience).await,
         }
@@ -150,71 +150,71 @@
         let state = &self.link.state;
         self.reader.read_instances(patience).await?;
         let asked = state.now();
-        while let NewsSource::Relay(id) = state.news_source()
+        while let UpdateSource::Relay(id) = state.news_source()
             && state.now().since(asked) < RELAYS_WITHIN
         {
             self.follow_instance(id, FIRST_FOLLOW_WAIT).await;
-            if state.has_read() {
+            if state.store_loaded() {
                 return Ok(());
             }
         }
-        self.reader.read_all(CALL_WITHIN).await
+        self.reader.read_all(CALL_TIMEOUT).await
     }
 
     /// Hears everything from one of a large fleet; from the store if others ask this one
     /// for it, or if none of those that are asked has it.
-    async fn hear_first(&self, mut sources: FirstSources) -> Result<(), StoreError> {
+    async fn hear_first(&self, mut sources: BootstrapSources) -> Result<(), StoreError> {
         let state = &self.link.state;
         let asked = state.now();
-        let yields = sources.yields_for(state.me.strength);
+        let yields = sources.store_read_delay(state.own_entry.strength);
         let wanted = async {
-            state.all_wanted.given().await;
+            state.snapshot_requested.wait().await;
             Timer::after(yields).await;
             true
         };
         let heard = async {
-            while let Some(source) = sources.ask_next()
+            while let Some(source) = sources.next_source()
                 && state.now().since(asked) < SOURCES_WITHIN
             {
-                match self.peers.hear_first(source, FIRST_FOLLOW_WAIT).await {
+                match self.peers.fetch_all_at(source, FIRST_FOLLOW_WAIT).await {
                     Some(heard) if !heard.store_away => self.take_heard(heard),
                     // What it knows may be old, while the store answered here just now.
-                    Some(_) | None => sources.is_silent(source),
+                    Some(_) | None => sources.remove_unresponsive(source),
                 }
-                if state.has_read() {
+                if state.store_loaded() {
                     return false;
                 }
             }
             true
         };
         match wanted.or(heard).await {
-            true => self.reader.read_all(CALL_WITHIN).await,
+            true => self.reader.read_all(CALL_TIMEOUT).await,
             false => Ok(()),
         }
     }
 
-    fn take_heard(&self, heard: Heard) {
+    fn take_heard(&self, heard: SourceReply) {
         for news in heard.news {
-            self.intake.take(news);
+            self.applier.apply(news);
         }
         if let Some(proof) = heard.proof {
-            self.link.state.knowledge().freshness.adopt(proof);
+            self.link.state.cluster().freshness.adopt(proof);
         }
     }
 
     /// Gives up entries whose time is over.
-    pub(crate) async fn expire(self: Arc<Self>) {
+    pub(crate) async fn expire_entries(self: Arc<Self>) {
         let state = &self.link.state;
         loop {
             Timer::after(EXPIRE_EVERY).await;
             let now = state.now();
-            state.notices.expire(now);
+            state.backoffs.expire(now);
             let (gone, taken_back) = {
-                let mut knowledge = state.knowledge();
-                knowledge.forget_sources(now);
-                knowledge.instances.expire(now);
-                let gone = knowledge.upstreams.expire(now);
-                (gone, knowledge.evacuated.expire(now))
+                let mut cluster = state.cluster();
+                cluster.expire_source_health(now);
+                cluster.instances.expire(now);
+                let gone = cluster.upstreams.expire(now);
+                (gone, cluster.evacuated_zones.expire(now))
             };
             if gone {
                 log::info!("upstreams that lapsed with the store did not come back");
@@ -234,27 +234,27 @@
     /// Guards against an instance that starts after the store came back from a copy: it
     /// reads an older version there, by which a credential that was taken away works,
     /// until the operator has written the newest one again.
-    pub(crate) async fn catch_up(self: Arc<Self>) {
+    pub(crate) async fn fetch_newer_deployment(self: Arc<Self>) {
         let state = &self.link.state;
         loop {
             Timer::after(EXPIRE_EVERY).await;
-            let ahead = state.knowledge().ahead;
+            let ahead = state.cluster().newer_peer;
             let now = state.now();
             let Some((id, _)) = ahead.filter(|(_, since)| now.since(*since) >= AHEAD_FOR) else {
                 continue;
             };
             log::info!(source:% = id; "another instance has a later configuration in force");
-            match self.peers.hear_all(id).await {
+            match self.peers.fetch_all(id).await {
                 Some(heard) => {
                     for news in heard.news {
-                        self.intake.take_deployment(&news.items);
+                        self.applier.apply_deployment(&news.items);
                     }
                 }
                 None => {
                     log::info!(source:% = id; "it does not answer; the next one that tells is asked")
                 }
             }
-            state.knowledge().ahead = None;
+            state.cluster().newer_peer = None;
         }
     }
 
@@ -262,16 +262,16 @@
     async fn round(&self, last: Round) -> Round {
         let state = &self.link.state;
         match state.news_source() {
-            NewsSource::Reader(id) | NewsSource::Relay(id)
+            UpdateSource::Reader(id) | UpdateSource::Relay(id)
                 if self.follow_instance(id, FOLLOW_WAIT).await =>
             {
                 Round::Kept
             }
             _ if last == Round::Lost => {
-                state.store_back.wait(AWAY_PAUSE).await;
+                state.store_recovered.wait_timeout(AWAY_PAUSE).await;
                 Round::Lost
             }
-            NewsSource::Store => {
+            UpdateSource::Store => {
                 let others = async {
                     self.until_others_tell().await;
                     Round::Kept
@@ -279,7 +279,7 @@
                 self.watch(WATCH_WAIT).or(others).await
             }
             // It is passed over from now on, and the next one is asked.
-            NewsSource::Reader(id) | NewsSource::Relay(id) => {
+            UpdateSource::Reader(id) | UpdateSource::Relay(id) => {
                 log::info!(source:% = id; "no news from the instance followed");
                 Round::Kept
             }
@@ -288,19 +288,19 @@
 
     async fn watch(&self, wait: Duration) -> Round {
         let state = &self.link.state;
-        let revision = state.knowledge().mirror.revision();
+        let revision = state.cluster().mirror.revision();
         let watching = self.link.store.watch(revision, wait);
-        let patience = wait + CALL_WITHIN;
+        let patience = wait + CALL_TIMEOUT;
         match self.link.call(StoreCall::Watch, patience, watching).await {
             Ok(changes) if changes.revision.era > revision.era => {
-                self.link.succeeded();
+                self.link.call_succeeded();
                 log::info!(revision:%, now:% = changes.revision; "watch ended in another era; reading everything again");
                 Round::Lost
             }
             Ok(changes) => {
-                self.link.succeeded();
-                self.intake.take(News {
-                    whole: false,
+                self.link.call_succeeded();
+                self.applier.apply(StoreUpdate {
+                    is_full: false,
                     items: changes.items,
                     revision: changes.revision,
                 });
@@ -312,9 +312,9 @@
                 Round::Lost
             }
             Err(e) => {
-                self.link.failed(StoreCall::Watch, e);
-                if state.news_source() == NewsSource::Store {
-                    state.store_back.wait(AWAY_PAUSE).await;
+                self.link.call_failed(StoreCall::Watch, e);
+                if state.news_source() == UpdateSource::Store {
+                    state.store_recovered.wait_timeout(AWAY_PAUSE).await;
                 }
                 Round::Kept
             }
@@ -331,8 +331,8 @@
         };
         let Some(heard) = asking.or(gone).await else {
             let now = state.now();
-            let mut knowledge = state.knowledge();
-            knowledge.note_source(now, id, SourceState::Silent);
+            let mut cluster = state.cluster();
+            cluster.record_source_health(now, id, SourceHealth::Unresponsive);
             return false;
         };
         let silent = heard.news.iter().all(|n| n.items.is_empty());
@@ -340,13 +340,13 @@
         self.take_heard(heard);
         match store_away {
             true => self.source_lost_store(id),
-            false => self.link.back(),
+            false => self.link.mark_available(),
         }
-        if !store_away && state.without_proof() > FOLLOWED_PROOF_MOST {
+        if !store_away && state.time_without_proof() > FOLLOWED_PROOF_MOST {
             log::info!(source:% = id; "the instance followed brings no proof");
             let now = state.now();
-            let mut knowledge = state.knowledge();
-            knowledge.note_source(now, id, SourceState::Silent);
+            let mut cluster = state.cluster();
+            cluster.record_source_health(now, id, SourceHealth::Unresponsive);
         }
         if !silent {
             Timer::after(GATHER).await;
@@ -362,11 +362,11 @@
     fn source_lost_store(&self, id: Incarnation) {
         let state = &self.link.state;
         let now = state.now();
-        let mut knowledge = state.knowledge();
-        knowledge.note_source(now, id, SourceState::StoreAway);
-        drop(knowledge);
+        let mut cluster = state.cluster();
+        cluster.record_source_health(now, id, SourceHealth::StoreUnavailable);
+        drop(cluster);
         if state.news_source().instance() == Some(id) {
-            self.link.away();
+            self.link.mark_unavailable();
         } else {
             log::info!(source:% = id; "the instance followed has lost the store");
         }
@@ -378,7 +378,7 @@
     /// instance's place, its own proof is not asked for any more, so that nothing shows
     /// what it lacks; it waited for its watch for half a minute.
     async fn until_others_tell(&self) {
-        while self.link.state.news_source() == NewsSource::Store {
+        while self.link.state.news_source() == UpdateSource::Store {
             Timer::after(NEWS_BEHIND).await;
         }
     }
@@ -389,7 +389,7 @@
         loop {
             Timer::after(NEWS_BEHIND).await;
             let now = state.now();
-            if !state.knowledge().instances.is_heard(now, id) {
+            if !state.cluster().instances.is_present(now, id) {
                 return;
             }
         }
@@ -398,7 +398,7 @@
     /// Returns once the store is known to have had changes for a while that did
     /// not come: a connection is silent, or the store is deaf.
     async fn until_behind(&self) {
-        let is_behind = || self.link.state.knowledge().freshness.is_behind();
+        let is_behind = || self.link.state.cluster().freshness.is_behind();
         loop {
             Timer::after(NEWS_BEHIND).await;
             if is_behind() {
--- a/crates/serving/src/owner.rs
+++ b/crates/serving/src/shard_owners.rs
@@ -49,7 +49,7 @@
 ///
 /// No lease is needed. Two owners for a moment fill smaller batches; no piece
 /// does harm when it is done twice.
-pub fn owners<'a>(
+pub fn rank_owners<'a>(
     shard: &Shard,
     instances: impl Iterator<Item = &'a InstanceEntry>,
     most: usize,
@@ -58,7 +58,7 @@
     let far = |zone: &Name| shard.zone.as_ref().is_some_and(|z| z != zone);
     let mut ranked: Vec<_> = instances
         .map(|e| {
-            let rank = spread(hash ^ spread_address(e.peers));
+            let rank = spread(hash ^ spread_address(e.peer_address));
             (Reverse(e.strength), far(&e.zone), rank, e)
         })
         .collect();
