--- a/crates/entry/src/caller_api.rs
+++ b/crates/entry/src/caller_api.rs
@@ -278,7 +278,8 @@
             customer.name,
             customer.limit
         );
-        let refusal = Refusal::not_run(RefusalKind::CustomerLimit, detail).after(LIMIT_AFTER);
+        let refusal =
+            Refusal::not_run(RefusalKind::CustomerLimit, detail).with_retry_after(LIMIT_AFTER);
         return RunAnswer::Refused(refusal);
     }
     let answer = run_or_defer(shared, req, pipeline.deferrable, tx).await;
@@ -302,7 +303,7 @@
         jd_policy::AdmissionCheck::WouldMiss { short_by } => {
             let detail = format_compact!("{work:?} of work is expected, {short_by:?} too much");
             shared.decided(req.request, "refuse", detail.clone());
-            Err(Refusal::not_run(RefusalKind::WouldMiss, detail).after(short_by))
+            Err(Refusal::not_run(RefusalKind::WouldMiss, detail).with_retry_after(short_by))
         }
     }
 }
--- a/crates/entry/src/snapshot.rs
+++ b/crates/entry/src/snapshot.rs
@@ -9,7 +9,7 @@
 use jd_coord::ListEntry;
 use jd_policy::PoolTable;
 use jd_policy::Upstream;
-use jd_types::Compiled;
+use jd_types::CompiledConfig;
 use jd_types::Config;
 use jd_types::MonoTime;
 use jd_types::Name;
@@ -25,7 +25,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Snapshot {
     /// The configuration.
-    pub(crate) compiled: Compiled,
+    pub(crate) compiled: CompiledConfig,
     /// What lives on from snapshot to snapshot, by [`PoolKey`].
     pub(crate) pools: Vec<Arc<PoolRuntime>>,
     /// The upstreams, by [`PoolKey`].
@@ -70,7 +70,7 @@
         hall: &Name,
         new_pool: impl Fn(&Name) -> PoolRuntime,
     ) -> Snapshot {
-        let compiled = Compiled::from(config);
+        let compiled = CompiledConfig::from(config);
         self.pools.retain(|name, _| config.pools.contains_key(name));
         self.upstreams
             .retain(|address, _| list.iter().any(|l| l.address == *address));
--- a/crates/gateway/src/caller_api.rs
+++ b/crates/gateway/src/caller_api.rs
@@ -268,7 +268,7 @@
 }
 
 fn unproven(detail: &'static str) -> Refusal {
-    Refusal::not_run(RefusalKind::NotServing, detail).after(UNPROVEN_PAUSE)
+    Refusal::not_run(RefusalKind::NotServing, detail).with_retry_after(UNPROVEN_PAUSE)
 }
 
 /// A refusal after something was sent: nobody can tell whether it ran.
--- a/crates/gateway/src/caller_request.rs
+++ b/crates/gateway/src/caller_request.rs
@@ -56,7 +56,7 @@
         };
         let detail = "upstreams that ran this request ended, one after the other";
         Err(match runs {
-            0 => Refusal::not_run(RefusalKind::Quarantined, detail).after(left),
+            0 => Refusal::not_run(RefusalKind::Quarantined, detail).with_retry_after(left),
             _ => may_have_run(RefusalKind::UpstreamFailed, detail),
         })
     }
--- a/crates/gateway/src/limiters.rs
+++ b/crates/gateway/src/limiters.rs
@@ -13,7 +13,7 @@
 use jd_serving::RateLimiter;
 use jd_serving::Shard;
 use jd_types::MonoTime;
-use jd_types::spread_address;
+use jd_types::hash_address;
 use jd_wire::GatewayClient;
 
 use crate::peer_limits;
@@ -129,7 +129,7 @@
 fn shard_of(upstream: SocketAddr) -> Shard {
     Shard {
         zone: None,
-        part: (spread_address(upstream) % u64::from(PARTS)) as u32,
+        part: (hash_address(upstream) % u64::from(PARTS)) as u32,
         parts: PARTS,
     }
 }
--- a/crates/gateway/src/stage_runner.rs
+++ b/crates/gateway/src/stage_runner.rs
@@ -319,5 +319,5 @@
             "the instance that does stages changed too often",
         ),
     };
-    Refusal::not_run(kind, detail).after(wait)
+    Refusal::not_run(kind, detail).with_retry_after(wait)
 }
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -35,8 +35,8 @@
 use jd_serving::update_source;
 use jd_settings::GatewaySettings;
 use jd_types::MonoTime;
-use jd_types::spread;
-use jd_types::spread_address;
+use jd_types::hash_address;
+use jd_types::splitmix64;
 
 use crate::Dialect;
 use crate::cluster_state::ClusterState;
@@ -288,7 +288,7 @@
     /// that an instance that has just heard of the others does not take itself for
     /// alone.
     pub(crate) fn fleet_place(&self, upstream: SocketAddr) -> FleetPosition {
-        let turn = |peers: SocketAddr| spread(spread_address(peers) ^ spread_address(upstream));
+        let turn = |peers: SocketAddr| splitmix64(hash_address(peers) ^ hash_address(upstream));
         let own = turn(self.own_entry.peer_address);
         let cluster = self.cluster();
         let mut place = FleetPosition {
--- a/crates/gateway/src/streaming_call.rs
+++ b/crates/gateway/src/streaming_call.rs
@@ -175,7 +175,8 @@
     match (runs, failure.outcome) {
         (0, _) => {
             let wait = backoff_retry_after(state, &request.service);
-            Refusal::not_run(RefusalKind::Overloaded, detail).after(wait.unwrap_or(FULL_PAUSE))
+            Refusal::not_run(RefusalKind::Overloaded, detail)
+                .with_retry_after(wait.unwrap_or(FULL_PAUSE))
         }
         (_, AttemptOutcome::Silent | AttemptOutcome::TimedOut) => {
             may_have_run(RefusalKind::DeadlinePassed, detail)
--- a/crates/gateway/src/unary_call.rs
+++ b/crates/gateway/src/unary_call.rs
@@ -222,7 +222,7 @@
         (0, RefusalKind::DeadlinePassed) => over(0, detail),
         (0, kind) => {
             let wait = backoff_retry_after(state, &request.service);
-            Refusal::not_run(kind, detail).after(wait.unwrap_or(FULL_PAUSE))
+            Refusal::not_run(kind, detail).with_retry_after(wait.unwrap_or(FULL_PAUSE))
         }
         (_, RefusalKind::DeadlinePassed) => over(runs, detail),
         _ => may_have_run(RefusalKind::UpstreamFailed, detail),
--- a/crates/gateway/src/upstream_selection.rs
+++ b/crates/gateway/src/upstream_selection.rs
@@ -66,7 +66,7 @@
     fn refuse_limited(&self, wait: Duration) -> Refusal {
         let detail = "the upstreams take no more for now";
         match self.possible_runs {
-            0 => Refusal::not_run(RefusalKind::Limited, detail).after(wait),
+            0 => Refusal::not_run(RefusalKind::Limited, detail).with_retry_after(wait),
             _ => may_have_run(RefusalKind::UpstreamFailed, detail),
         }
     }
@@ -75,7 +75,7 @@
     fn refuse(&self, kind: RefusalKind, detail: &'static str) -> Refusal {
         match (self.possible_runs, kind) {
             (0, RefusalKind::DeadlinePassed) => Refusal::not_run(RefusalKind::WouldMiss, detail),
-            (0, kind) => Refusal::not_run(kind, detail).after(self.retry_after),
+            (0, kind) => Refusal::not_run(kind, detail).with_retry_after(self.retry_after),
             (_, RefusalKind::DeadlinePassed) => may_have_run(kind, detail),
             _ => may_have_run(RefusalKind::UpstreamFailed, detail),
         }
--- a/crates/lab/src/slopes/config.rs
+++ b/crates/lab/src/slopes/config.rs
@@ -5,7 +5,7 @@
 use jd_types::Change;
 use jd_types::ChangeId;
 use jd_types::ChangeRecord;
-use jd_types::Compiled;
+use jd_types::CompiledConfig;
 use jd_types::Config;
 use jd_types::CredentialDigest;
 use jd_types::Customer;
@@ -36,7 +36,7 @@
             "customers",
             &CUSTOMERS,
             config,
-            |c, _| Compiled::from(&*c),
+            |c, _| CompiledConfig::from(&*c),
         ),
         meter.time(
             "config: authenticate one request",
@@ -75,8 +75,8 @@
     config
 }
 
-fn compiled(customers: usize) -> Compiled {
-    Compiled::from(&config(customers))
+fn compiled(customers: usize) -> CompiledConfig {
+    CompiledConfig::from(&config(customers))
 }
 
 fn replica(customers: usize) -> ConfigReplica {
--- a/crates/policy/src/pool_table.rs
+++ b/crates/policy/src/pool_table.rs
@@ -10,8 +10,8 @@
 use jd_types::MonoTime;
 use jd_types::Name;
 use jd_types::UpstreamKey;
-use jd_types::spread;
-use jd_types::spread_address;
+use jd_types::hash_address;
+use jd_types::splitmix64;
 
 use crate::RoutingPolicy;
 use crate::Upstream;
@@ -267,7 +267,7 @@
     /// other; when an upstream leaves only its own prefixes move; and a popular
     /// prefix spreads to a second and third upstream, always the same ones.
     fn by_prefix(&self, now: MonoTime, req: &PickRequest<'_>) -> Option<UpstreamKey> {
-        let prefix = spread(req.affinity?);
+        let prefix = splitmix64(req.affinity?);
         let start = self.ring.partition_point(|place| place.at < prefix);
         let around = self.ring[start..].iter().chain(&self.ring[..start]);
         // Rounded, and not one more: every instance adds its own up to the
@@ -321,9 +321,9 @@
 fn ring_of(upstreams: &[Arc<Upstream>]) -> Vec<Place> {
     let keyed = (0..).map(UpstreamKey::from_index).zip(upstreams);
     let places = |(key, u): (UpstreamKey, &Arc<Upstream>)| {
-        let base = spread_address(u.address);
+        let base = hash_address(u.address);
         (0..PLACES).map(move |n| Place {
-            at: spread(base ^ spread(n)),
+            at: splitmix64(base ^ splitmix64(n)),
             key,
         })
     };
--- a/crates/serving/src/prompt_placement.rs
+++ b/crates/serving/src/prompt_placement.rs
@@ -2,8 +2,8 @@
 
 use std::net::SocketAddr;
 
-use jd_types::spread;
-use jd_types::spread_address;
+use jd_types::hash_address;
+use jd_types::splitmix64;
 
 /// What a placement looks at of one upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -42,7 +42,7 @@
     let usable = upstreams.iter().enumerate().filter(|(_, u)| u.usable);
     let mut ranked: Vec<(bool, u64, usize)> = usable
         .map(|(n, u)| {
-            let rank = spread(session ^ spread_address(u.address));
+            let rank = splitmix64(session ^ hash_address(u.address));
             (u.in_flight >= bound, rank, n)
         })
         .collect();
--- a/crates/serving/src/shard.rs
+++ b/crates/serving/src/shard.rs
@@ -172,12 +172,12 @@
 
 /// Breaks ties between shards without favouring one.
 fn spread_to(shard: &Shard, place: u64) -> u64 {
-    jd_types::spread(place ^ shard.hash())
+    jd_types::splitmix64(place ^ shard.hash())
 }
 
 /// A number from 0 to 1.
 fn unit(place: u64) -> f64 {
-    (jd_types::spread(place) >> 11) as f64 / (1_u64 << 53) as f64
+    (jd_types::splitmix64(place) >> 11) as f64 / (1_u64 << 53) as f64
 }
 
 impl Shard {
@@ -187,6 +187,6 @@
         let text = zone
             .bytes()
             .fold(0_u64, |h, b| h.wrapping_mul(31).wrapping_add(u64::from(b)));
-        jd_types::spread(text) ^ (u64::from(self.parts) << 32 | u64::from(self.part))
+        jd_types::splitmix64(text) ^ (u64::from(self.parts) << 32 | u64::from(self.part))
     }
 }
--- a/crates/serving/src/shard_owners.rs
+++ b/crates/serving/src/shard_owners.rs
@@ -3,8 +3,8 @@
 use std::cmp::Reverse;
 
 use jd_types::Name;
-use jd_types::spread;
-use jd_types::spread_address;
+use jd_types::hash_address;
+use jd_types::splitmix64;
 
 use crate::InstanceEntry;
 use crate::Shard;
@@ -58,7 +58,7 @@
     let far = |zone: &Name| shard.zone.as_ref().is_some_and(|z| z != zone);
     let mut ranked: Vec<_> = instances
         .map(|e| {
-            let rank = spread(hash ^ spread_address(e.peer_address));
+            let rank = splitmix64(hash ^ hash_address(e.peer_address));
             (Reverse(e.strength), far(&e.zone), rank, e)
         })
         .collect();
--- a/crates/serving/tests/cold_start.rs
+++ b/crates/serving/tests/cold_start.rs
@@ -8,7 +8,7 @@
 use jd_serving::ColdStart;
 use jd_serving::FleetPosition;
 use jd_types::MonoTime;
-use jd_types::spread;
+use jd_types::splitmix64;
 use test_case::test_case;
 
 const SPEC: ColdSpec = ColdSpec {
@@ -58,11 +58,11 @@
         if restart_at.is_some_and(|restart| now.abs_diff(restart) < 1_000 / per_s) {
             fleet.fill_with(fresh);
         }
-        let rank = u32::try_from(spread(n) % u64::from(instances)).expect("small");
+        let rank = u32::try_from(splitmix64(n) % u64::from(instances)).expect("small");
         let own = &mut fleet[rank as usize];
         if own.may_send(at(now), SPEC, place(rank, instances)) {
             own.record_sent(at(now), SPEC);
-            arrivals.push(now + spread(n ^ 77) % JITTER_MS);
+            arrivals.push(now + splitmix64(n ^ 77) % JITTER_MS);
         }
     }
     arrivals
--- a/crates/serving/tests/growth.rs
+++ b/crates/serving/tests/growth.rs
@@ -141,7 +141,7 @@
     let [_, a, b, c] = n.to_be_bytes();
     let at = |port: u16| SocketAddr::from(([10, a, b, c], port));
     InstanceEntry {
-        incarnation: Incarnation::new(jd_types::spread(u64::from(n)) >> 1),
+        incarnation: Incarnation::new(jd_types::splitmix64(u64::from(n)) >> 1),
         caller_address: at(80),
         peer_address: at(81),
         zone: zone(n),
--- a/crates/types/src/compiled.rs
+++ b/crates/types/src/compiled_config.rs
@@ -66,7 +66,7 @@
 /// The configuration laid out for the path of a request: arenas with small
 /// keys, made once for each revision and then only read.
 #[derive(Debug, Clone, Default)]
-pub struct Compiled {
+pub struct CompiledConfig {
     /// The revision that this was made from.
     pub revision: Revision,
     /// Pipelines, by [`PipelineKey`].
@@ -81,7 +81,7 @@
     credentials: HashMap<CredentialDigest, CustomerKey>,
 }
 
-impl Compiled {
+impl CompiledConfig {
     /// The pipeline called `name`.
     pub fn pipeline(&self, name: &str) -> Option<PipelineKey> {
         let name = Name::try_from(name).ok()?;
@@ -120,11 +120,11 @@
     }
 }
 
-impl From<&Config> for Compiled {
-    fn from(cfg: &Config) -> Compiled {
-        let mut out = Compiled {
+impl From<&Config> for CompiledConfig {
+    fn from(cfg: &Config) -> CompiledConfig {
+        let mut out = CompiledConfig {
             revision: cfg.revision,
-            ..Compiled::default()
+            ..CompiledConfig::default()
         };
         for (i, (name, pool)) in (0..).zip(&cfg.pools) {
             out.pool_keys.insert(name.clone(), PoolKey::from_index(i));
--- a/crates/types/src/spread.rs
+++ b/crates/types/src/hash.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 /// The finaliser of splitmix64: spreads close numbers far apart.
-pub const fn spread(mut x: u64) -> u64 {
+pub const fn splitmix64(mut x: u64) -> u64 {
     x = x.wrapping_add(0x9e37_79b9_7f4a_7c15);
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -12,7 +12,7 @@
 }
 
 /// A number for an address.
-pub fn spread_address(address: SocketAddr) -> u64 {
+pub fn hash_address(address: SocketAddr) -> u64 {
     let ip = match address.ip() {
         IpAddr::V4(v4) => u64::from(v4.to_bits()),
         IpAddr::V6(v6) => {
@@ -20,5 +20,5 @@
             (bits as u64) ^ ((bits >> 64) as u64)
         }
     };
-    spread(ip << 16 | u64::from(address.port()))
+    splitmix64(ip << 16 | u64::from(address.port()))
 }
--- a/crates/types/src/ids.rs
+++ b/crates/types/src/ids.rs
@@ -28,15 +28,15 @@
 }
 
 arena_key! {
-    /// A pool in [`Compiled::pools`](crate::Compiled::pools).
+    /// A pool in [`CompiledConfig::pools`](crate::CompiledConfig::pools).
     PoolKey
 }
 arena_key! {
-    /// A customer in [`Compiled::customers`](crate::Compiled::customers).
+    /// A customer in [`CompiledConfig::customers`](crate::CompiledConfig::customers).
     CustomerKey
 }
 arena_key! {
-    /// A pipeline in [`Compiled::pipelines`](crate::Compiled::pipelines).
+    /// A pipeline in [`CompiledConfig::pipelines`](crate::CompiledConfig::pipelines).
     PipelineKey
 }
 arena_key! {
--- a/crates/types/src/refusal.rs
+++ b/crates/types/src/refusal.rs
@@ -181,7 +181,7 @@
     }
 
     /// The same refusal with the time after which to come back.
-    pub fn after(self, wait: Duration) -> Refusal {
+    pub fn with_retry_after(self, wait: Duration) -> Refusal {
         Refusal {
             retry_after: Some(wait),
             ..self
