--- a/crates/gateway/src/caller_api.rs
+++ b/crates/gateway/src/caller_api.rs
@@ -269,7 +269,7 @@
 }
 
 fn unproven(detail: &'static str) -> Refusal {
-    Refusal::not_run(RefusalKind::NotServing, detail).after(UNPROVEN_RETRY)
+    Refusal::not_run(RefusalKind::NotServing, detail).with_retry_after(UNPROVEN_RETRY)
 }
 
 /// The refusal of a request that was sent to an upstream and may have run.
--- a/crates/gateway/src/peer_client.rs
+++ b/crates/gateway/src/peer_client.rs
@@ -26,10 +26,10 @@
 
 use crate::peer_instance;
 use crate::peer_limits;
-use crate::peer_quarantine::RunReport;
 use crate::peer_quarantine;
-use crate::peer_replication::SourceReply;
+use crate::peer_quarantine::RunReport;
 use crate::peer_replication;
+use crate::peer_replication::SourceReply;
 use crate::peer_stages;
 use crate::quarantine::QuarantineSource;
 use crate::state::State;
--- a/crates/gateway/src/stage_runner.rs
+++ b/crates/gateway/src/stage_runner.rs
@@ -318,5 +318,5 @@
             "the instance that does stages changed too often",
         ),
     };
-    Refusal::not_run(kind, detail).after(wait)
+    Refusal::not_run(kind, detail).with_retry_after(wait)
 }
--- a/crates/gateway/src/streaming_call.rs
+++ b/crates/gateway/src/streaming_call.rs
@@ -189,7 +189,8 @@
     match (runs, failure.outcome) {
         (0, _) => {
             let wait = backoff_retry_after(state, &request.service);
-            Refusal::not_run(RefusalKind::Overloaded, detail).after(wait.unwrap_or(FULL_RETRY))
+            Refusal::not_run(RefusalKind::Overloaded, detail)
+                .with_retry_after(wait.unwrap_or(FULL_RETRY))
         }
         (_, AttemptOutcome::Silent | AttemptOutcome::TimedOut) => {
             may_have_run(RefusalKind::DeadlinePassed, detail)
--- a/crates/gateway/src/unary_call.rs
+++ b/crates/gateway/src/unary_call.rs
@@ -222,7 +222,7 @@
         (0, RefusalKind::DeadlinePassed) => deadline_refusal(0, detail),
         (0, kind) => {
             let wait = backoff_retry_after(state, &request.service);
-            Refusal::not_run(kind, detail).after(wait.unwrap_or(FULL_RETRY))
+            Refusal::not_run(kind, detail).with_retry_after(wait.unwrap_or(FULL_RETRY))
         }
         (_, RefusalKind::DeadlinePassed) => deadline_refusal(runs, detail),
         _ => may_have_run(RefusalKind::UpstreamFailed, detail),
--- a/crates/policy/src/pool_table.rs
+++ b/crates/policy/src/pool_table.rs
@@ -10,8 +10,8 @@
 use jd_types::MonoTime;
 use jd_types::Name;
 use jd_types::UpstreamKey;
-use jd_types::spread;
-use jd_types::spread_address;
+use jd_types::hash_address;
+use jd_types::splitmix64;
 
 use crate::RoutingPolicy;
 use crate::Upstream;
@@ -275,7 +275,7 @@
     /// leaves, only its own prefixes move. A popular prefix spreads to a second and a third
     /// upstream, which are always the same.
     fn by_affinity(&self, now: MonoTime, req: &PickRequest<'_>) -> Option<UpstreamKey> {
-        let prefix = spread(req.affinity?);
+        let prefix = splitmix64(req.affinity?);
         let start = self.ring.partition_point(|node| node.hash < prefix);
         let nodes = self.ring[start..].iter().chain(&self.ring[..start]);
         // The bound is rounded and has no extra allowance, because each instance can send
@@ -332,9 +332,9 @@
 fn build_ring(upstreams: &[Arc<Upstream>]) -> Vec<VirtualNode> {
     let keyed = (0..).map(UpstreamKey::from_index).zip(upstreams);
     let nodes = |(key, u): (UpstreamKey, &Arc<Upstream>)| {
-        let base = spread_address(u.address);
+        let base = hash_address(u.address);
         (0..VIRTUAL_NODES).map(move |n| VirtualNode {
-            hash: spread(base ^ spread(n)),
+            hash: splitmix64(base ^ splitmix64(n)),
             key,
         })
     };
--- a/crates/serving/src/shard.rs
+++ b/crates/serving/src/shard.rs
@@ -176,12 +176,12 @@
 
 /// Breaks ties between shards, spread evenly over requests.
 fn spread_to(shard: &Shard, request_hash: u64) -> u64 {
-    jd_types::spread(request_hash ^ shard.hash())
+    jd_types::splitmix64(request_hash ^ shard.hash())
 }
 
 /// Maps a hash to a number from 0 to 1.
 fn unit_fraction(hash: u64) -> f64 {
-    (jd_types::spread(hash) >> 11) as f64 / (1_u64 << 53) as f64
+    (jd_types::splitmix64(hash) >> 11) as f64 / (1_u64 << 53) as f64
 }
 
 impl Shard {
@@ -191,6 +191,6 @@
         let text = zone
             .bytes()
             .fold(0_u64, |h, b| h.wrapping_mul(31).wrapping_add(u64::from(b)));
-        jd_types::spread(text) ^ (u64::from(self.parts) << 32 | u64::from(self.part))
+        jd_types::splitmix64(text) ^ (u64::from(self.parts) << 32 | u64::from(self.part))
     }
 }
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,18 +1,19 @@
-//! The words that every other crate shares.
+//! Data types shared by the other crates.
 //!
-//! Decisions in jacinthdeal are made by state machines that do no I/O, so what
-//! they take and return has to be plain data that a test, a daemon and an
-//! embedder can all build. This crate holds that data and the rules that make
-//! a value valid: raw input becomes a checked type through `TryFrom` or a
-//! constructor, and nothing downstream checks it again.
+//! Decisions in jacinthdeal are made by state machines that do no I/O, so their
+//! inputs and outputs are plain data that tests, daemons and embedders can all
+//! build. This crate defines that data and its validation: raw input is converted
+//! to a checked type through `TryFrom` or a constructor, and later code does not
+//! check the value again.
 
 mod change;
 mod change_error;
 mod change_record;
-mod compiled;
+mod compiled_config;
 mod config;
 mod credential;
 mod customer;
+mod hash;
 mod ids;
 mod incarnation;
 mod member_state;
@@ -24,7 +25,6 @@
 mod ppm;
 mod priority;
 mod refusal;
-mod spread;
 mod stage;
 mod time;
 
@@ -34,16 +34,18 @@
 pub use change_error::ChangeError;
 pub use change_record::ChangeId;
 pub use change_record::ChangeRecord;
-pub use compiled::Compiled;
-pub use compiled::CompiledCustomer;
-pub use compiled::CompiledPipeline;
-pub use compiled::CompiledPool;
-pub use compiled::CompiledStage;
+pub use compiled_config::CompiledConfig;
+pub use compiled_config::CompiledCustomer;
+pub use compiled_config::CompiledPipeline;
+pub use compiled_config::CompiledPool;
+pub use compiled_config::CompiledStage;
 pub use config::Config;
 pub use config::Revision;
 pub use credential::CredentialDigest;
 pub use credential::DigestError;
 pub use customer::Customer;
+pub use hash::hash_address;
+pub use hash::splitmix64;
 pub use ids::AttemptId;
 pub use ids::CustomerKey;
 pub use ids::PipelineKey;
@@ -65,8 +67,6 @@
 pub use priority::PriorityError;
 pub use refusal::Refusal;
 pub use refusal::RefusalKind;
-pub use spread::spread;
-pub use spread::spread_address;
 pub use stage::Stage;
 pub use stage::StageKind;
 pub use time::MonoTime;
