--- a/crates/cli/src/explain.rs
+++ b/crates/cli/src/explain.rs
@@ -7,9 +7,9 @@
 use std::time::Duration;
 
 use jd_explain::Breakdown;
-use jd_explain::LateAfter;
+use jd_explain::LateThresholds;
 use jd_explain::Log;
-use jd_explain::story;
+use jd_explain::request_history;
 use snafu::ResultExt;
 
 use crate::args::ExplainArgs;
@@ -28,7 +28,7 @@
         true => read(&mut log, STDIN)?,
         false => args.files.iter().try_for_each(|f| read(&mut log, f))?,
     }
-    let (named, count) = log.bad();
+    let (named, count) = log.malformed();
     for bad in named {
         eprintln!("jacinthdeal: {bad}");
     }
@@ -38,7 +38,7 @@
     let lines = log.lines();
     match &args.request {
         None => print!("{}", Breakdown::of(lines, &late)),
-        Some(id) => print!("{}", told(story(lines, id), id)?),
+        Some(id) => print!("{}", told(request_history(lines, id), id)?),
     }
     Ok(ExitCode::SUCCESS)
 }
@@ -59,8 +59,8 @@
 }
 
 /// Reads `ROUTE=MS`, or `MS` for all other routes.
-fn late_after(given: &[String]) -> Result<LateAfter, CliError> {
-    let mut late = LateAfter::default();
+fn late_after(given: &[String]) -> Result<LateThresholds, CliError> {
+    let mut late = LateThresholds::default();
     for value in given {
         let (route, ms) = value.rsplit_once('=').unwrap_or(("", value));
         let ms: u64 = ms.parse().ok().ok_or_else(|| LateSnafu { value }.build())?;
--- a/crates/entry/src/duties.rs
+++ b/crates/entry/src/duties.rs
@@ -77,7 +77,7 @@
 
 /// Gives engines orders while this instance holds the duty.
 pub(crate) async fn order_models(shared: Arc<Shared>) {
-    let mut desk = OrderDesk::new(shared.settings.work.loads_at_once);
+    let mut desk = OrderDesk::new(shared.settings.work.max_concurrent_loads);
     loop {
         Timer::after(PAUSE * 2).await;
         if may_act(&shared, MODELS_DUTY).is_some() {
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -113,7 +113,7 @@
         )?;
         let member = Member {
             incarnation: me,
-            hall: settings.instance.hall.clone(),
+            hall: settings.instance.zone.clone(),
             callers: callers.address(),
             peers: peers.address(),
             state: MemberState::Starting,
--- a/crates/entry/src/run_driver.rs
+++ b/crates/entry/src/run_driver.rs
@@ -184,7 +184,7 @@
 
     fn pick(&self, snapshot: &Snapshot, stage: CompiledStage) -> Option<Pick> {
         let req = PickRequest {
-            zone: &self.shared.settings.instance.hall,
+            zone: &self.shared.settings.instance.zone,
             affinity: self.prefix(stage),
             exclude: self.run.tried(),
         };
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -244,7 +244,7 @@
         let config = lock(&self.replica).config().clone();
         let list = lock(&self.upstreams).entries();
         let work = &self.settings.work;
-        let snapshot = maker.make(&config, &list, &self.settings.instance.hall, |name| {
+        let snapshot = maker.make(&config, &list, &self.settings.instance.zone, |name| {
             PoolRuntime::new(name, work.max_queue, work.retry_percent)
         });
         self.metrics.set_revision(config.revision);
--- a/crates/explain/src/breakdown.rs
+++ b/crates/explain/src/breakdown.rs
@@ -8,18 +8,18 @@
 use compact_str::CompactString;
 
 use crate::Cause;
-use crate::Line;
+use crate::LogLine;
 
 /// After how long an answer that begins is late, by route; `other` for the rest.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct LateAfter {
+pub struct LateThresholds {
     /// By the route's name.
     pub routes: BTreeMap<CompactString, Duration>,
     /// For all others; none if these are never late.
     pub other: Option<Duration>,
 }
 
-impl LateAfter {
+impl LateThresholds {
     fn of(&self, route: &str) -> Option<Duration> {
         self.routes.get(route).copied().or(self.other)
     }
@@ -46,7 +46,7 @@
 
 impl Breakdown {
     /// Counts `lines`, which are in the order of their time.
-    pub fn of(lines: &[Line], late: &LateAfter) -> Breakdown {
+    pub fn of(lines: &[LogLine], late: &LateThresholds) -> Breakdown {
         let mut breakdown = Breakdown::default();
         let mut stages: HashMap<&str, u64> = HashMap::new();
         for line in lines {
@@ -80,7 +80,7 @@
         self.seconds.values().map(|s| s.answered).sum()
     }
 
-    fn answered(&mut self, line: &Line, stages_ms: u64, late: &LateAfter) {
+    fn answered(&mut self, line: &LogLine, stages_ms: u64, late: &LateThresholds) {
         self.second(line).answered += 1;
         let took = line.number("ms").unwrap_or(0);
         let after = late.of(line.input("route").unwrap_or(""));
@@ -96,13 +96,13 @@
         }
     }
 
-    fn attempt(&mut self, line: &Line) {
+    fn attempt(&mut self, line: &LogLine) {
         let detail = line.input("detail").unwrap_or("");
         *self.attempts.entry(detail.into()).or_default() += 1;
     }
 
     /// What became of a call's pieces: `12 done, 2 no-room`, or a word for all.
-    fn call(&mut self, line: &Line) {
+    fn call(&mut self, line: &LogLine) {
         for part in line.input("outcome").unwrap_or("").split(", ") {
             let (count, name) = match part.split_once(' ') {
                 Some((count, name)) => (count.parse().unwrap_or(0), name),
@@ -112,14 +112,14 @@
         }
     }
 
-    fn count(&mut self, line: &Line, cause: Cause) {
+    fn count(&mut self, line: &LogLine, cause: Cause) {
         *self.second(line).causes.entry(cause).or_default() += 1;
         if let Some(id) = line.request() {
             self.examples.entry(cause).or_insert_with(|| id.into());
         }
     }
 
-    fn second(&mut self, line: &Line) -> &mut Second {
+    fn second(&mut self, line: &LogLine) -> &mut Second {
         self.seconds.entry(line.second().into()).or_default()
     }
 }
--- a/crates/explain/src/cause.rs
+++ b/crates/explain/src/cause.rs
@@ -1,6 +1,6 @@
 //! Why a request earned nothing, or late.
 
-use crate::Line;
+use crate::LogLine;
 
 /// Why a request earned nothing, or late.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -8,21 +8,21 @@
     /// Refused at once: its stages would have ended too late.
     WouldMiss,
     /// Its stages waited and did not end in time.
-    StagesHeld,
+    StagesTimedOut,
     /// A piece of a stage failed too often, or every upstream was full.
     Overloaded,
     /// No upstream was known for it.
     NoUpstream,
     /// What the instance knew was too old, or it knew nothing yet.
-    Unproven,
+    Stale,
     /// Its credential or its address was not in force.
     NotAllowed,
     /// An upstream did not answer in time.
-    UpstreamSilent,
+    UpstreamTimedOut,
     /// An upstream failed.
     UpstreamFailed,
     /// Its answer was cut off.
-    Cut,
+    Truncated,
     /// Answered late, and mostly waiting for its stages.
     LateByStages,
     /// Answered late, and mostly waiting for its upstream.
@@ -39,14 +39,14 @@
     /// Every cause, in the order of the table.
     pub const ALL: [Cause; 14] = [
         Cause::WouldMiss,
-        Cause::StagesHeld,
+        Cause::StagesTimedOut,
         Cause::Overloaded,
         Cause::NoUpstream,
-        Cause::Unproven,
+        Cause::Stale,
         Cause::NotAllowed,
-        Cause::UpstreamSilent,
+        Cause::UpstreamTimedOut,
         Cause::UpstreamFailed,
-        Cause::Cut,
+        Cause::Truncated,
         Cause::LateByStages,
         Cause::LateByUpstream,
         Cause::Quarantined,
@@ -58,14 +58,14 @@
     pub const fn as_str(self) -> &'static str {
         match self {
             Cause::WouldMiss => "would-miss",
-            Cause::StagesHeld => "stages-held",
+            Cause::StagesTimedOut => "stages-held",
             Cause::Overloaded => "overloaded",
             Cause::NoUpstream => "no-upstream",
-            Cause::Unproven => "unproven",
+            Cause::Stale => "unproven",
             Cause::NotAllowed => "not-allowed",
-            Cause::UpstreamSilent => "silent",
+            Cause::UpstreamTimedOut => "silent",
             Cause::UpstreamFailed => "failed",
-            Cause::Cut => "cut",
+            Cause::Truncated => "cut",
             Cause::LateByStages => "late-stages",
             Cause::LateByUpstream => "late-upstream",
             Cause::Quarantined => "quarantined",
@@ -75,26 +75,26 @@
     }
 
     /// The cause that a line names by itself; none if it ends no request badly.
-    pub fn of(line: &Line) -> Option<Cause> {
+    pub fn of(line: &LogLine) -> Option<Cause> {
         match line.text.as_str() {
             "refused" => Some(Cause::of_refusal(line)),
-            "stream cut off" => Some(Cause::Cut),
+            "stream cut off" => Some(Cause::Truncated),
             _ => None,
         }
     }
 
-    fn of_refusal(line: &Line) -> Cause {
+    fn of_refusal(line: &LogLine) -> Cause {
         let held = line.input("detail").unwrap_or("").contains("did not end");
         match line.input("outcome").unwrap_or("") {
-            "would-miss" if held => Cause::StagesHeld,
+            "would-miss" if held => Cause::StagesTimedOut,
             "would-miss" => Cause::WouldMiss,
             "overloaded" => Cause::Overloaded,
             "no-upstream" => Cause::NoUpstream,
-            "not-serving" => Cause::Unproven,
+            "not-serving" => Cause::Stale,
             "unauthenticated" | "unknown-pipeline" => Cause::NotAllowed,
             "quarantined" => Cause::Quarantined,
             "limited" => Cause::Limited,
-            "deadline-passed" => Cause::UpstreamSilent,
+            "deadline-passed" => Cause::UpstreamTimedOut,
             "upstream-failed" => Cause::UpstreamFailed,
             _ => Cause::Other,
         }
--- a/crates/explain/src/log.rs
+++ b/crates/explain/src/log.rs
@@ -6,8 +6,8 @@
 use compact_str::CompactString;
 use compact_str::format_compact;
 
-use crate::BadLine;
-use crate::Line;
+use crate::LogLine;
+use crate::MalformedLine;
 
 /// Bad lines that are kept to be named; the others are counted.
 const NAMED: usize = 5;
@@ -15,8 +15,8 @@
 /// The lines of any number of instances.
 #[derive(Debug, Default)]
 pub struct Log {
-    lines: Vec<Line>,
-    bad: Vec<BadLine>,
+    lines: Vec<LogLine>,
+    bad: Vec<MalformedLine>,
     bad_count: usize,
 }
 
@@ -30,7 +30,7 @@
             number += 1;
             match std::str::from_utf8(&buf) {
                 Ok(text) if text.trim().is_empty() => {}
-                Ok(text) => match Line::read(file, text.trim_end()) {
+                Ok(text) => match LogLine::read(file, text.trim_end()) {
                     Ok(line) => self.lines.push(line),
                     Err(reason) => self.is_bad(file, number, reason),
                 },
@@ -42,13 +42,13 @@
     }
 
     /// All lines, by the time at which they were written.
-    pub fn lines(&mut self) -> &[Line] {
+    pub fn lines(&mut self) -> &[LogLine] {
         self.lines.sort_by(|a, b| a.time.cmp(&b.time));
         &self.lines
     }
 
     /// The first few lines that were not log lines, and how many there were.
-    pub fn bad(&self) -> (&[BadLine], usize) {
+    pub fn malformed(&self) -> (&[MalformedLine], usize) {
         (&self.bad, self.bad_count)
     }
 
@@ -56,7 +56,7 @@
         self.bad_count += 1;
         if self.bad.len() < NAMED {
             let file = file.into();
-            self.bad.push(BadLine {
+            self.bad.push(MalformedLine {
                 file,
                 number,
                 reason,
--- a/crates/explain/src/line.rs
+++ b/crates/explain/src/log_line.rs
@@ -20,7 +20,7 @@
 
 /// A log line: a decision, its inputs and its outcome.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Line {
+pub struct LogLine {
     /// When it was written, by the instance's own time of day.
     pub time: CompactString,
     /// Where it was read.
@@ -30,16 +30,16 @@
     inputs: Map<String, Value>,
 }
 
-impl Line {
+impl LogLine {
     /// Reads a line of `source`. What stands before the first brace is left out, so
     /// that a prefix of a log collector does no harm.
-    pub(crate) fn read(source: &str, text: &str) -> Result<Line, CompactString> {
+    pub(crate) fn read(source: &str, text: &str) -> Result<LogLine, CompactString> {
         let Some(start) = text.find('{') else {
             return Err("it holds no JSON object".into());
         };
         let raw: RawLine =
             serde_json::from_str(&text[start..]).map_err(|e| format_compact!("{e}"))?;
-        Ok(Line {
+        Ok(LogLine {
             time: raw.timestamp,
             source: source.into(),
             text: raw.text,
--- a/crates/explain/src/bad_line.rs
+++ b/crates/explain/src/malformed_line.rs
@@ -7,7 +7,7 @@
 #[derive(Debug, Snafu, Clone, PartialEq, Eq)]
 #[snafu(display("{file}:{number}: {reason}; give the instances' own JSON lines, one a line"))]
 #[snafu(visibility(pub(crate)))]
-pub struct BadLine {
+pub struct MalformedLine {
     /// The file that it stands in.
     pub file: CompactString,
     /// Its number there, from 1.
--- a/crates/explain/src/story.rs
+++ b/crates/explain/src/request_history.rs
@@ -3,13 +3,13 @@
 use std::collections::BTreeSet;
 use std::fmt::Write;
 
-use crate::Line;
+use crate::LogLine;
 
 /// Every line of a request, in the order of their time, with those that tell what was
 /// held against it; empty if there is none.
-pub fn story(lines: &[Line], request: &str) -> String {
+pub fn request_history(lines: &[LogLine], request: &str) -> String {
     let mut text = String::new();
-    let own = |l: &&Line| l.request() == Some(request);
+    let own = |l: &&LogLine| l.request() == Some(request);
     let contents = lines.iter().filter(own).filter_map(|l| l.input("content"));
     let contents: BTreeSet<&str> = contents.filter(|c| !c.is_empty()).collect();
     for line in lines.iter().filter(|l| own(l) || l.is_of_all(&contents)) {
--- a/crates/explain/tests/explain.rs
+++ b/crates/explain/tests/explain.rs
@@ -6,9 +6,9 @@
 
 use jd_explain::Breakdown;
 use jd_explain::Cause;
-use jd_explain::LateAfter;
+use jd_explain::LateThresholds;
 use jd_explain::Log;
-use jd_explain::story;
+use jd_explain::request_history;
 use test_case::test_case;
 
 /// A line as instances write it, at a time within one minute.
@@ -25,7 +25,7 @@
     log
 }
 
-fn breakdown(lines: &[String], late: &LateAfter) -> Breakdown {
+fn breakdown(lines: &[String], late: &LateThresholds) -> Breakdown {
     Breakdown::of(log(lines).lines(), late)
 }
 
@@ -37,15 +37,18 @@
 #[test_case(
     "would-miss",
     "the stages did not end before the deadline",
-    Cause::StagesHeld
+    Cause::StagesTimedOut
 )]
-#[test_case("not-serving", "no configuration is known here yet", Cause::Unproven)]
+#[test_case("not-serving", "no configuration is known here yet", Cause::Stale)]
 #[test_case("unauthenticated", "", Cause::NotAllowed)]
-#[test_case("deadline-passed", "no answer in time", Cause::UpstreamSilent)]
+#[test_case("deadline-passed", "no answer in time", Cause::UpstreamTimedOut)]
 #[test_case("new-kind", "", Cause::Other)]
 fn a_refusal_has_a_cause(outcome: &str, detail: &str, cause: Cause) {
     let inputs = format!(r#""request":"r1","outcome":"{outcome}","detail":"{detail}""#);
-    let counted = breakdown(&[line("01.5", "refused", &inputs)], &LateAfter::default());
+    let counted = breakdown(
+        &[line("01.5", "refused", &inputs)],
+        &LateThresholds::default(),
+    );
     assert_eq!(counted.count_of(cause), 1);
 }
 
@@ -72,7 +75,7 @@
             r#""request":"r3","ms":1000,"route":"y""#,
         ),
     ];
-    let mut late = LateAfter::default();
+    let mut late = LateThresholds::default();
     late.routes.insert("x".into(), Duration::from_millis(700));
     let counted = breakdown(&lines, &late);
     assert_eq!(counted.answers(), 3);
@@ -98,7 +101,7 @@
     ];
     let mut log = log(&lines);
     assert_eq!(log.lines().len(), 1);
-    let (named, count) = log.bad();
+    let (named, count) = log.malformed();
     assert_eq!(count, 2);
     assert!(
         named[0].to_string().starts_with("a.log:2: "),
@@ -118,11 +121,11 @@
     log.read("b", late.as_bytes()).expect("memory can be read");
     log.read("a", [other, early].join("\n").as_bytes())
         .expect("memory can be read");
-    let told = story(log.lines(), "r1");
+    let told = request_history(log.lines(), "r1");
     let texts: Vec<&str> = told.lines().collect();
     assert_eq!(texts.len(), 2);
     assert!(texts[0].contains("attempt failed") && texts[1].contains("answered"));
-    assert!(story(log.lines(), "r9").is_empty());
+    assert!(request_history(log.lines(), "r9").is_empty());
 }
 
 /// A request is refused although this attempt at it met nothing. Its story has the ends of
@@ -153,9 +156,9 @@
         line("04.0", "answered", r#""request":"r2","content":"c1""#),
     ];
     let mut log = log(&lines);
-    let told = story(log.lines(), "r1");
+    let told = request_history(log.lines(), "r1");
     assert_eq!(told.lines().count(), 3, "{told}");
-    let counted = Breakdown::of(log.lines(), &LateAfter::default());
+    let counted = Breakdown::of(log.lines(), &LateThresholds::default());
     assert_eq!(counted.count_of(Cause::Quarantined), 1);
 }
 
@@ -170,9 +173,9 @@
         line("01.1", "refused", r#""request":"r1","outcome":"limited""#),
     ];
     let mut log = log(&lines);
-    let told = story(log.lines(), "r1");
+    let told = request_history(log.lines(), "r1");
     assert_eq!(told.lines().count(), 2, "{told}");
-    let counted = Breakdown::of(log.lines(), &LateAfter::default());
+    let counted = Breakdown::of(log.lines(), &LateThresholds::default());
     assert_eq!(counted.count_of(Cause::Limited), 1);
 }
 
@@ -186,7 +189,7 @@
         ),
         line("01.0", "call for pieces", r#""outcome":"Full","pieces":5"#),
     ];
-    let text = breakdown(&lines, &LateAfter::default()).to_string();
+    let text = breakdown(&lines, &LateThresholds::default()).to_string();
     for expected in ["12  done", "2  no-room", "5  Full"] {
         assert!(text.contains(expected), "{text}");
     }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -227,7 +227,7 @@
     /// over.
     pub async fn stop(&self) {
         let began = self.state.now();
-        let grace = self.state.settings.grace;
+        let grace = self.state.settings.grace_period;
         log::info!(in_flight = self.state.in_flight(); "stopping");
         self.state.start_leaving();
         self.lease.withdraw().await;
--- a/crates/gateway/src/revision_poller.rs
+++ b/crates/gateway/src/revision_poller.rs
@@ -75,7 +75,7 @@
     async fn until_old(&self) {
         let state = &self.link.state;
         // Not all at the same moment: the first to ask spares the others.
-        let due = state.settings.confirm_every;
+        let due = state.settings.revision_poll_interval;
         let due = due.mul_f64(0.85 + 0.3 * fastrand::f64());
         let mut wait = due;
         loop {
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -186,7 +186,7 @@
     /// True while requests may be sent on the strength of what is known here.
     pub(crate) fn is_fresh(&self) -> bool {
         self.proof_age()
-            .is_some_and(|age| age < self.settings.proof_lifetime)
+            .is_some_and(|age| age < self.settings.max_staleness)
     }
 
     /// True if callers should come here.
@@ -413,9 +413,9 @@
 
     fn repeat_bound(&self) -> RetryLimit {
         RetryLimit {
-            ratio: self.settings.repeat_ratio,
-            slack: self.settings.repeat_slack,
-            window: self.settings.repeat_window,
+            ratio: self.settings.retry_ratio,
+            slack: self.settings.retry_slack,
+            window: self.settings.retry_window,
         }
     }
 }
--- a/crates/settings/src/gateway_settings.rs
+++ b/crates/settings/src/gateway_settings.rs
@@ -171,21 +171,21 @@
     /// Where the store is.
     pub store: SocketAddr,
     /// How often the store is asked for its revision.
-    pub confirm_every: Duration,
+    pub revision_poll_interval: Duration,
     /// How long the instance's entry outlives it.
     pub lease: Duration,
     /// How long callers may keep addresses.
     pub answer_lifetime: Duration,
     /// How long knowledge counts after it was proven.
-    pub proof_lifetime: Duration,
+    pub max_staleness: Duration,
     /// How long a stop may take.
-    pub grace: Duration,
+    pub grace_period: Duration,
     /// Repeats for each request.
-    pub repeat_ratio: f64,
+    pub retry_ratio: f64,
     /// Repeats beyond that, of all instances.
-    pub repeat_slack: f64,
+    pub retry_slack: f64,
     /// The span over which repeats are counted.
-    pub repeat_window: Duration,
+    pub retry_window: Duration,
     /// What is logged.
     pub log_level: LevelFilter,
 }
@@ -237,14 +237,14 @@
             max_connections: number("instance", "max-connections", 16, 65_536)? as usize,
             first_start: raw.value("instance", "first-start", |t| t.parse().ok())?,
             store: address("store", "address")?,
-            confirm_every: millis("store", "confirm-every-ms", 100, 60_000)?,
+            revision_poll_interval: millis("store", "confirm-every-ms", 100, 60_000)?,
             lease: millis("store", "lease-ms", 1_000, 600_000)?,
             answer_lifetime: millis("callers", "answer-lifetime-ms", 100, 60_000)?,
-            proof_lifetime: revoke_within * PROOF_PERCENT / 100,
-            grace: seconds("stop", "grace-s", 1.0)?,
-            repeat_ratio: quantity("repeats", "ratio", 0.0, 1.0)?,
-            repeat_slack: quantity("repeats", "slack", 0.0, 1_000_000.0)?,
-            repeat_window: seconds("repeats", "window-s", 0.1)?,
+            max_staleness: revoke_within * PROOF_PERCENT / 100,
+            grace_period: seconds("stop", "grace-s", 1.0)?,
+            retry_ratio: quantity("repeats", "ratio", 0.0, 1.0)?,
+            retry_slack: quantity("repeats", "slack", 0.0, 1_000_000.0)?,
+            retry_window: seconds("repeats", "window-s", 0.1)?,
             log_level: raw.value("log", "level", |t| t.parse().ok())?,
         })
     }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -8,7 +8,7 @@
 
 mod gateway_settings;
 mod key;
-mod raw;
+mod raw_settings;
 mod settings;
 mod settings_error;
 
@@ -16,7 +16,7 @@
 pub use gateway_settings::GatewaySettings;
 pub use key::KEYS;
 pub use key::Key;
-pub use raw::RawSettings;
+pub use raw_settings::RawSettings;
 pub use settings::CallerSettings;
 pub use settings::InstanceSettings;
 pub use settings::LogSettings;
--- a/crates/settings/src/settings.rs
+++ b/crates/settings/src/settings.rs
@@ -21,7 +21,7 @@
 #[derive(Debug, Clone)]
 pub struct InstanceSettings {
     /// The hall that it stands in.
-    pub hall: Name,
+    pub zone: Name,
     /// Where it answers callers.
     pub callers: SocketAddr,
     /// Where it answers other instances.
@@ -62,7 +62,7 @@
     /// Deferred requests that may wait to become durable.
     pub max_deferred: usize,
     /// Engines that load at the same time.
-    pub loads_at_once: usize,
+    pub max_concurrent_loads: usize,
 }
 
 /// What is logged.
@@ -103,7 +103,7 @@
 
     fn try_from(raw: &RawSettings) -> Result<Settings, SettingsError> {
         let instance = InstanceSettings {
-            hall: raw.value("instance", "hall", |t| Name::try_from(t).ok())?,
+            zone: raw.value("instance", "hall", |t| Name::try_from(t).ok())?,
             callers: address(raw, "instance", "callers")?,
             peers: address(raw, "instance", "peers")?,
             operators: address(raw, "instance", "operators")?,
@@ -126,7 +126,7 @@
                 max_queue: number(raw, "work", "max-queue", 1..=65_536)?,
                 retry_percent: number(raw, "work", "retry-percent", 0..=100)? as u32,
                 max_deferred: number(raw, "work", "max-deferred", 1..=65_536)?,
-                loads_at_once: number(raw, "work", "loads-at-once", 1..=64)?,
+                max_concurrent_loads: number(raw, "work", "loads-at-once", 1..=64)?,
             },
             log: LogSettings {
                 level: raw.value("log", "level", level)?,
--- a/crates/settings/tests/gateway.rs
+++ b/crates/settings/tests/gateway.rs
@@ -27,8 +27,8 @@
 fn defaults_fill_what_is_left_out() {
     let settings = check(GOOD).expect("valid");
     assert_eq!(settings.threads, 1);
-    assert_eq!(settings.proof_lifetime.as_millis(), 3_000);
-    assert_eq!(settings.grace.as_millis(), 8_000);
+    assert_eq!(settings.max_staleness.as_millis(), 3_000);
+    assert_eq!(settings.grace_period.as_millis(), 8_000);
     assert!(!settings.first_start);
 }
 
@@ -36,7 +36,7 @@
 fn figures_with_fractions_are_accepted() {
     let text = format!("{GOOD}[stop]\ngrace-s = 7.5\n[repeats]\nratio = 0.25\nslack = 56.0\n");
     let settings = check(&text).expect("valid");
-    assert_eq!(settings.grace.as_millis(), 7_500);
+    assert_eq!(settings.grace_period.as_millis(), 7_500);
 }
 
 #[test_case("zone = hall-a", "zone = Hall A", &["zone", "Hall A", "lower-case"]; "a bad name")]
