--- a/crates/explain/src/breakdown.rs
+++ b/crates/explain/src/breakdown.rs
@@ -1,4 +1,4 @@
-//! Requests that earned nothing, or late, by second and cause.
+//! Counts of refused, truncated and late requests by second and cause.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -10,49 +10,49 @@
 use crate::Cause;
 use crate::LogLine;
 
-/// After how long an answer that begins is late, by route; `other` for the rest.
+/// The time to the start of an answer beyond which the answer counts as late, by route.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct LateThresholds {
-    /// By the route's name.
+    /// Thresholds by the name of the route.
     pub routes: BTreeMap<CompactString, Duration>,
-    /// For all others; none if these are never late.
+    /// The threshold of all other routes; without it, their answers are never late.
     pub other: Option<Duration>,
 }
 
 impl LateThresholds {
-    fn of(&self, route: &str) -> Option<Duration> {
+    fn for_route(&self, route: &str) -> Option<Duration> {
         self.routes.get(route).copied().or(self.other)
     }
 }
 
-/// What became of the requests of one second.
+/// Counts of the requests that ended within one second.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 struct Second {
     answered: usize,
     causes: BTreeMap<Cause, usize>,
 }
 
-/// Requests that earned nothing, or late, by second and cause.
+/// Counts of refused, truncated and late requests by second and cause.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Breakdown {
     seconds: BTreeMap<CompactString, Second>,
-    /// One request of each cause, to ask for its story.
+    /// The first request of each cause, as an example whose history can be looked up.
     examples: BTreeMap<Cause, CompactString>,
-    /// What attempts that failed proved, and how often.
+    /// Counts of failed attempts by the `detail` of their log lines.
     attempts: BTreeMap<CompactString, usize>,
-    /// What became of pieces, and how often.
+    /// Counts of pieces by outcome.
     pieces: BTreeMap<CompactString, usize>,
 }
 
 impl Breakdown {
-    /// Counts `lines`, which are in the order of their time.
+    /// Counts `lines`, which must be sorted by time.
     pub fn of(lines: &[LogLine], late: &LateThresholds) -> Breakdown {
         let mut breakdown = Breakdown::default();
         let mut stages: HashMap<&str, u64> = HashMap::new();
         for line in lines {
-            match (line.text.as_str(), line.request()) {
+            match (line.message.as_str(), line.request_id()) {
                 ("stages ended", Some(id)) => {
-                    stages.insert(id, line.number("ms").unwrap_or(0));
+                    stages.insert(id, line.integer_value("ms").unwrap_or(0));
                 }
                 ("answered" | "answer began", Some(id)) => {
                     breakdown.answered(line, stages.get(id).copied().unwrap_or(0), late);
@@ -69,21 +69,21 @@
         breakdown
     }
 
-    /// How many requests had this cause.
+    /// The number of requests with this cause.
     pub fn count_of(&self, cause: Cause) -> usize {
         let all = self.seconds.values();
         all.filter_map(|s| s.causes.get(&cause)).sum()
     }
 
-    /// How many requests were answered, also late.
+    /// The number of answered requests, including late ones.
     pub fn answers(&self) -> usize {
         self.seconds.values().map(|s| s.answered).sum()
     }
 
     fn answered(&mut self, line: &LogLine, stages_ms: u64, late: &LateThresholds) {
         self.second(line).answered += 1;
-        let took = line.number("ms").unwrap_or(0);
-        let after = late.of(line.input("route").unwrap_or(""));
+        let took = line.integer_value("ms").unwrap_or(0);
+        let after = late.for_route(line.text_value("route").unwrap_or(""));
         if after.is_some_and(|after| u128::from(took) > after.as_millis()) {
             let by_stages = stages_ms * 2 > took;
             self.count(
@@ -97,16 +97,17 @@
     }
 
     fn attempt(&mut self, line: &LogLine) {
-        let detail = line.input("detail").unwrap_or("");
+        let detail = line.text_value("detail").unwrap_or("");
         *self.attempts.entry(detail.into()).or_default() += 1;
     }
 
-    /// What became of a call's pieces: `12 done, 2 no-room`, or a word for all.
+    /// Counts the pieces of a call. Its `outcome` either lists counts by outcome, as in
+    /// `12 done, 2 no-room`, or is a single word that applies to all pieces.
     fn call(&mut self, line: &LogLine) {
-        for part in line.input("outcome").unwrap_or("").split(", ") {
+        for part in line.text_value("outcome").unwrap_or("").split(", ") {
             let (count, name) = match part.split_once(' ') {
                 Some((count, name)) => (count.parse().unwrap_or(0), name),
-                None => (line.number("pieces").unwrap_or(0) as usize, part),
+                None => (line.integer_value("pieces").unwrap_or(0) as usize, part),
             };
             *self.pieces.entry(name.into()).or_default() += count;
         }
@@ -114,7 +115,7 @@
 
     fn count(&mut self, line: &LogLine, cause: Cause) {
         *self.second(line).causes.entry(cause).or_default() += 1;
-        if let Some(id) = line.request() {
+        if let Some(id) = line.request_id() {
             self.examples.entry(cause).or_insert_with(|| id.into());
         }
     }
--- a/crates/explain/src/cause.rs
+++ b/crates/explain/src/cause.rs
@@ -1,37 +1,37 @@
-//! Why a request earned nothing, or late.
+//! Causes of refused, truncated and late requests.
 
 use crate::LogLine;
 
-/// Why a request earned nothing, or late.
+/// Why a request was refused, truncated or answered late.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Cause {
-    /// Refused at once: its stages would have ended too late.
+    /// Refused without waiting: its stages were expected to end after the deadline.
     WouldMiss,
-    /// Its stages waited and did not end in time.
+    /// Its stages did not end before the deadline.
     StagesTimedOut,
-    /// A piece of a stage failed too often, or every upstream was full.
+    /// A piece of a stage failed too often, or every upstream was at capacity.
     Overloaded,
-    /// No upstream was known for it.
+    /// The instance knew no upstream for the request.
     NoUpstream,
-    /// What the instance knew was too old, or it knew nothing yet.
+    /// The state of the instance was too stale, or not loaded yet.
     Stale,
-    /// Its credential or its address was not in force.
+    /// The credential or the address of the request was not in force.
     NotAllowed,
     /// An upstream did not answer in time.
     UpstreamTimedOut,
     /// An upstream failed.
     UpstreamFailed,
-    /// Its answer was cut off.
+    /// The answer was cut off.
     Truncated,
-    /// Answered late, and mostly waiting for its stages.
+    /// Answered late; the stages took more than half of the time.
     LateByStages,
-    /// Answered late, and mostly waiting for its upstream.
+    /// Answered late; the stages took half of the time or less.
     LateByUpstream,
-    /// Kept from upstreams, since those that ran it ended.
+    /// Quarantined, since upstreams that ran the request ended.
     Quarantined,
-    /// The upstreams name a limit and took no more.
+    /// The upstreams announced a limit and accepted no further requests.
     Limited,
-    /// Something else.
+    /// Any other cause.
     Other,
 }
 
@@ -54,7 +54,7 @@
         Cause::Other,
     ];
 
-    /// Its name in tables.
+    /// The name in tables.
     pub const fn as_str(self) -> &'static str {
         match self {
             Cause::WouldMiss => "would-miss",
@@ -74,9 +74,10 @@
         }
     }
 
-    /// The cause that a line names by itself; none if it ends no request badly.
+    /// The cause that a single line states; none if the line reports neither a refusal nor a
+    /// truncated answer.
     pub fn of(line: &LogLine) -> Option<Cause> {
-        match line.text.as_str() {
+        match line.message.as_str() {
             "refused" => Some(Cause::of_refusal(line)),
             "stream cut off" => Some(Cause::Truncated),
             _ => None,
@@ -84,9 +85,12 @@
     }
 
     fn of_refusal(line: &LogLine) -> Cause {
-        let held = line.input("detail").unwrap_or("").contains("did not end");
-        match line.input("outcome").unwrap_or("") {
-            "would-miss" if held => Cause::StagesTimedOut,
+        let timed_out = line
+            .text_value("detail")
+            .unwrap_or("")
+            .contains("did not end");
+        match line.text_value("outcome").unwrap_or("") {
+            "would-miss" if timed_out => Cause::StagesTimedOut,
             "would-miss" => Cause::WouldMiss,
             "overloaded" => Cause::Overloaded,
             "no-upstream" => Cause::NoUpstream,
--- a/crates/explain/src/lib.rs
+++ b/crates/explain/src/lib.rs
@@ -1,9 +1,9 @@
-//! What became of requests, told from the log lines of any number of instances.
+//! Explains the outcome of requests from the log lines of any number of instances.
 //!
-//! [`Log`] takes lines in, [`Breakdown`] counts by second and cause the requests
-//! that were refused, cut or late, and [`request_history`] has every line of one request in
-//! order. Lines that are not log lines are counted and named, and nothing else: a
-//! log that was cut off by a crash is the one that is read.
+//! [`Log`] collects lines, [`Breakdown`] counts refused, truncated and late requests
+//! by second and cause, and [`request_history`] lists every line of one request in
+//! order. Malformed lines are counted and reported but are not an error: the log of a
+//! crashed instance often ends in the middle of a line and must still be readable.
 
 mod breakdown;
 mod cause;
--- a/crates/explain/src/log_line.rs
+++ b/crates/explain/src/log_line.rs
@@ -1,4 +1,4 @@
-//! One log line.
+//! A single log line.
 
 use std::collections::BTreeSet;
 
@@ -9,7 +9,7 @@
 use serde_json::Map;
 use serde_json::Value;
 
-/// A log line as it stands in a file.
+/// A log line as it is written in a file.
 #[derive(Debug, Deserialize)]
 struct RawLine {
     timestamp: CompactString,
@@ -18,22 +18,22 @@
     kv: Map<String, Value>,
 }
 
-/// A log line: a decision, its inputs and its outcome.
+/// A log line: a message with its key-value pairs.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LogLine {
-    /// When it was written, by the instance's own time of day.
+    /// When the line was written, by the wall clock of the instance.
     pub time: CompactString,
-    /// Where it was read.
+    /// The name of the file that the line was read from.
     pub source: CompactString,
-    /// What was decided.
-    pub text: CompactString,
-    inputs: Map<String, Value>,
+    /// The message.
+    pub message: CompactString,
+    values: Map<String, Value>,
 }
 
 impl LogLine {
-    /// Reads a line of `source`. What stands before the first brace is left out, so
-    /// that a prefix of a log collector does no harm.
-    pub(crate) fn read(source: &str, text: &str) -> Result<LogLine, CompactString> {
+    /// Parses a line of the file `source`. Text before the first brace is skipped, since
+    /// log collectors put prefixes before lines.
+    pub(crate) fn parse(source: &str, text: &str) -> Result<LogLine, CompactString> {
         let Some(start) = text.find('{') else {
             return Err("it holds no JSON object".into());
         };
@@ -42,42 +42,43 @@
         Ok(LogLine {
             time: raw.timestamp,
             source: source.into(),
-            text: raw.text,
-            inputs: raw.kv,
+            message: raw.text,
+            values: raw.kv,
         })
     }
 
-    /// The second that it was written in.
+    /// The time at which the line was written, to the second.
     pub fn second(&self) -> &str {
         self.time.split('.').next().unwrap_or(&self.time)
     }
 
-    /// The identity of the request that it is about; none for other lines.
-    pub fn request(&self) -> Option<&str> {
-        self.input("request").filter(|id| !id.is_empty())
+    /// The ID of the request that the line is about; none for other lines.
+    pub fn request_id(&self) -> Option<&str> {
+        self.text_value("request").filter(|id| !id.is_empty())
     }
 
-    /// True if it is about what these requests are, and not about one attempt at them.
-    pub(crate) fn is_of_all(&self, contents: &BTreeSet<&str>) -> bool {
-        let one = self.input("content").into_iter();
-        let several = self.input("contents").unwrap_or("").split(' ');
+    /// True if the line is about one of the `contents` as such and not about a single
+    /// request.
+    pub(crate) fn concerns_contents(&self, contents: &BTreeSet<&str>) -> bool {
+        let one = self.text_value("content").into_iter();
+        let several = self.text_value("contents").unwrap_or("").split(' ');
         let mut named = one.chain(several);
-        self.request().is_none() && named.any(|c| contents.contains(c))
+        self.request_id().is_none() && named.any(|c| contents.contains(c))
     }
 
-    /// An input that is text; none if there is no such input.
-    pub fn input(&self, name: &str) -> Option<&str> {
-        self.inputs.get(name)?.as_str()
+    /// The string under the key `name`; none if there is no such string.
+    pub fn text_value(&self, name: &str) -> Option<&str> {
+        self.values.get(name)?.as_str()
     }
 
-    /// An input that is a number; none if there is no such input.
-    pub fn number(&self, name: &str) -> Option<u64> {
-        self.inputs.get(name)?.as_u64()
+    /// The non-negative integer under the key `name`; none if there is no such integer.
+    pub fn integer_value(&self, name: &str) -> Option<u64> {
+        self.values.get(name)?.as_u64()
     }
 
-    /// All inputs, as text.
-    pub fn inputs(&self) -> CompactString {
-        let all = self.inputs.iter();
+    /// All key-value pairs as `name=value`, separated by spaces.
+    pub fn formatted_values(&self) -> CompactString {
+        let all = self.values.iter();
         let all: Vec<String> = all.map(|(name, value)| format!("{name}={value}")).collect();
         all.join(" ").to_compact_string()
     }
--- a/crates/explain/src/malformed_line.rs
+++ b/crates/explain/src/malformed_line.rs
@@ -1,17 +1,17 @@
-//! Lines that are not log lines.
+//! Input lines that cannot be read as log lines.
 
 use compact_str::CompactString;
 use snafu::Snafu;
 
-/// Why a line does not count.
+/// An input line that cannot be read as a log line.
 #[derive(Debug, Snafu, Clone, PartialEq, Eq)]
 #[snafu(display("{file}:{number}: {reason}; give the instances' own JSON lines, one a line"))]
 #[snafu(visibility(pub(crate)))]
 pub struct MalformedLine {
-    /// The file that it stands in.
+    /// The file that holds the line.
     pub file: CompactString,
-    /// Its number there, from 1.
+    /// The line number in the file, from 1.
     pub number: usize,
-    /// What is wrong with it.
+    /// The fault, as the parser reports it.
     pub reason: CompactString,
 }
--- a/crates/explain/src/request_history.rs
+++ b/crates/explain/src/request_history.rs
@@ -1,21 +1,27 @@
-//! Everything that was logged of one request.
+//! The log lines of a single request.
 
 use std::collections::BTreeSet;
 use std::fmt::Write;
 
 use crate::LogLine;
 
-/// Every line of a request, in the order of their time, with those that tell what was
-/// held against it; empty if there is none.
-pub fn request_history(lines: &[LogLine], request: &str) -> String {
+/// Every line of the request `request_id`, in the order of `lines`, together with the lines
+/// about its content, such as crash reports and quarantine decisions; empty if there is none.
+pub fn request_history(lines: &[LogLine], request_id: &str) -> String {
     let mut text = String::new();
-    let own = |l: &&LogLine| l.request() == Some(request);
-    let contents = lines.iter().filter(own).filter_map(|l| l.input("content"));
+    let own = |l: &&LogLine| l.request_id() == Some(request_id);
+    let contents = lines
+        .iter()
+        .filter(own)
+        .filter_map(|l| l.text_value("content"));
     let contents: BTreeSet<&str> = contents.filter(|c| !c.is_empty()).collect();
-    for line in lines.iter().filter(|l| own(l) || l.is_of_all(&contents)) {
-        let (time, source, inputs) = (&line.time, &line.source, line.inputs());
+    for line in lines
+        .iter()
+        .filter(|l| own(l) || l.concerns_contents(&contents))
+    {
+        let (time, source, inputs) = (&line.time, &line.source, line.formatted_values());
         // Writing into a string cannot fail.
-        let _ = writeln!(text, "{time}  {source}  {}  {inputs}", line.text);
+        let _ = writeln!(text, "{time}  {source}  {}  {inputs}", line.message);
     }
     text
 }
--- a/crates/explain/tests/explain.rs
+++ b/crates/explain/tests/explain.rs
@@ -1,4 +1,4 @@
-//! What is told from log lines.
+//! Tests of breakdowns and request histories that are made from log lines.
 
 #![allow(clippy::expect_used, clippy::panic)]
 
@@ -11,10 +11,10 @@
 use jd_explain::request_history;
 use test_case::test_case;
 
-/// A line as instances write it, at a time within one minute.
-fn line(time: &str, text: &str, inputs: &str) -> String {
+/// A log line as instances write it; `time` is the second and fraction within one minute.
+fn line(time: &str, message: &str, values: &str) -> String {
     format!(
-        r#"{{"level":"INFO","timestamp":"2026-01-01 10:00:{time} +00:00","kv":{{{inputs}}},"text":"{text}"}}"#
+        r#"{{"level":"INFO","timestamp":"2026-01-01 10:00:{time} +00:00","kv":{{{values}}},"text":"{message}"}}"#
     )
 }
 
@@ -44,18 +44,18 @@
 #[test_case("deadline-passed", "no answer in time", Cause::UpstreamTimedOut)]
 #[test_case("new-kind", "", Cause::Other)]
 fn a_refusal_has_a_cause(outcome: &str, detail: &str, cause: Cause) {
-    let inputs = format!(r#""request":"r1","outcome":"{outcome}","detail":"{detail}""#);
+    let values = format!(r#""request":"r1","outcome":"{outcome}","detail":"{detail}""#);
     let counted = breakdown(
-        &[line("01.5", "refused", &inputs)],
+        &[line("01.5", "refused", &values)],
         &LateThresholds::default(),
     );
     assert_eq!(counted.count_of(cause), 1);
 }
 
-/// Late because of its stages or because of its upstream: two things that are mended
-/// in two places.
+/// Late answers are attributed to the stages or to the upstream, whichever took longer,
+/// since the two have different remedies.
 #[test]
-fn a_late_answer_is_late_by_what_took_longest() {
+fn a_late_answer_is_attributed_to_the_longest_phase() {
     let lines = [
         line("01.1", "stages ended", r#""request":"r1","ms":900"#),
         line(
@@ -83,37 +83,38 @@
     assert_eq!(counted.count_of(Cause::LateByUpstream), 1);
 }
 
-/// An instance was killed in the middle of a line, and a collector put a name before
-/// each. The log that holds the cause must still be read.
+/// A killed instance leaves a truncated line, and log collectors put a prefix before each
+/// line. Neither may keep the rest of the log from being read.
 #[test]
-fn lines_that_are_cut_off_are_counted_and_named() {
-    let whole = line(
+fn truncated_lines_are_counted_and_reported() {
+    let complete = line(
         "01.0",
         "refused",
         r#""request":"r1","outcome":"overloaded""#,
     );
-    let cut = whole[..60].to_owned();
+    let truncated = complete[..60].to_owned();
     let lines = [
-        format!("edge-1 {whole}"),
-        cut,
+        format!("edge-1 {complete}"),
+        truncated,
         "hello".to_owned(),
         String::new(),
     ];
     let mut log = log(&lines);
     assert_eq!(log.lines().len(), 1);
-    let (named, count) = log.malformed();
+    let (reported, count) = log.malformed();
     assert_eq!(count, 2);
     assert!(
-        named[0].to_string().starts_with("a.log:2: "),
+        reported[0].to_string().starts_with("a.log:2: "),
         "{}",
-        named[0]
+        reported[0]
     );
-    assert_eq!(named[1].number, 3);
+    assert_eq!(reported[1].number, 3);
 }
 
-/// The owner of stages and the instance that took a request write in different files.
+/// The owner of the stages and the instance that accepted the request log to different
+/// files.
 #[test]
-fn a_story_is_in_order_whatever_the_files_are() {
+fn a_request_history_is_in_order_across_files() {
     let mut log = Log::default();
     let late = line("05.0", "answered", r#""request":"r1","ms":4000"#);
     let other = line("03.0", "answered", r#""request":"r2","ms":4"#);
@@ -121,17 +122,18 @@
     log.read("b", late.as_bytes()).expect("memory can be read");
     log.read("a", [other, early].join("\n").as_bytes())
         .expect("memory can be read");
-    let told = request_history(log.lines(), "r1");
-    let texts: Vec<&str> = told.lines().collect();
+    let history = request_history(log.lines(), "r1");
+    let texts: Vec<&str> = history.lines().collect();
     assert_eq!(texts.len(), 2);
     assert!(texts[0].contains("attempt failed") && texts[1].contains("answered"));
     assert!(request_history(log.lines(), "r9").is_empty());
 }
 
-/// A request is refused although this attempt at it met nothing. Its story has the ends of
-/// upstreams, and who judged them, from the lines of other instances.
+/// A quarantined request is refused without a failed attempt of its own. Its history
+/// includes the crashes of upstreams that other instances logged for the same content,
+/// and the decision made on them.
 #[test]
-fn a_quarantined_request_is_told_with_the_ends_behind_it() {
+fn a_quarantined_request_is_listed_with_the_crashes_behind_it() {
     let lines = [
         line(
             "01.0",
@@ -156,14 +158,14 @@
         line("04.0", "answered", r#""request":"r2","content":"c1""#),
     ];
     let mut log = log(&lines);
-    let told = request_history(log.lines(), "r1");
-    assert_eq!(told.lines().count(), 3, "{told}");
+    let history = request_history(log.lines(), "r1");
+    assert_eq!(history.lines().count(), 3, "{history}");
     let counted = Breakdown::of(log.lines(), &LateThresholds::default());
     assert_eq!(counted.count_of(Cause::Quarantined), 1);
 }
 
 #[test]
-fn a_request_that_limited_upstreams_did_not_take_is_told() {
+fn a_request_refused_by_limited_upstreams_is_listed() {
     let lines = [
         line(
             "01.0",
@@ -173,14 +175,14 @@
         line("01.1", "refused", r#""request":"r1","outcome":"limited""#),
     ];
     let mut log = log(&lines);
-    let told = request_history(log.lines(), "r1");
-    assert_eq!(told.lines().count(), 2, "{told}");
+    let history = request_history(log.lines(), "r1");
+    assert_eq!(history.lines().count(), 2, "{history}");
     let counted = Breakdown::of(log.lines(), &LateThresholds::default());
     assert_eq!(counted.count_of(Cause::Limited), 1);
 }
 
 #[test]
-fn pieces_are_counted_by_what_became_of_them() {
+fn pieces_are_counted_by_outcome() {
     let lines = [
         line(
             "01.0",
