--- a/crates/gateway-daemon/src/args.rs
+++ b/crates/gateway-daemon/src/args.rs
@@ -8,16 +8,16 @@
 use bpaf::long;
 use bpaf::short;
 
-/// The command line as given.
+/// The parsed command line.
 #[derive(Debug, Clone)]
 pub(crate) struct Args {
-    /// The settings file.
+    /// The path of the settings file.
     pub(crate) settings: PathBuf,
-    /// Only check the settings.
+    /// Check the settings and exit.
     pub(crate) check: bool,
 }
 
-/// The command line's parser.
+/// Builds the parser of the command line.
 pub(crate) fn args() -> OptionParser<Args> {
     let settings = short('s')
         .long("settings")
--- a/crates/gateway-daemon/src/daemon_error.rs
+++ b/crates/gateway-daemon/src/daemon_error.rs
@@ -1,37 +1,37 @@
-//! Why the daemon could not run.
+//! Errors that keep the daemon from running.
 
 use jd_gateway::StartError;
 use jd_settings::SettingsError;
 use snafu::Snafu;
 
-/// Why the daemon could not run.
+/// An error that keeps the daemon from running.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub(crate) enum DaemonError {
-    /// The settings are wrong.
+    /// The settings are not valid.
     #[snafu(display("{source}"))]
     Settings {
-        /// What is wrong.
+        /// The fault.
         source: SettingsError,
     },
-    /// Logs cannot be written.
+    /// The logger could not be started.
     #[snafu(display("logs cannot be written ({source}); check standard output"))]
     Logs {
-        /// What the logger says.
+        /// The error of the logger.
         source: flexi_logger::FlexiLoggerError,
     },
-    /// An address could not be had.
+    /// The gateway could not be started, such as when an address cannot be listened on.
     #[snafu(display("{source}"))]
     Start {
-        /// Which.
+        /// The error of the gateway.
         source: StartError,
     },
-    /// Threads or signals could not be had.
-    #[snafu(display("{what} could not be had ({source}); raise the limits of the process"))]
+    /// Worker threads or signal handlers could not be set up.
+    #[snafu(display("{resource} could not be set up ({source}); raise the limits of the process"))]
     System {
-        /// What.
-        what: &'static str,
-        /// What the system says.
+        /// The kind of resource, for the message.
+        resource: &'static str,
+        /// The error of the operating system.
         source: std::io::Error,
     },
 }
--- a/crates/gateway-daemon/src/logging.rs
+++ b/crates/gateway-daemon/src/logging.rs
@@ -1,4 +1,4 @@
-//! Logs as JSON lines on standard output.
+//! Writes the log as JSON lines on standard output.
 
 use std::io::Write;
 use std::sync::atomic::AtomicU64;
@@ -21,21 +21,21 @@
 use log::LevelFilter;
 use log::Record;
 
-/// How long a stop waits for its last lines to be written. A stop has 250 ms
-/// left when it ends in the worst case.
-const LAST_LINES_WITHIN: Duration = Duration::from_millis(100);
-/// Lines that may wait to be written. About a second of the most that an
-/// instance logs at its limit of work.
-const MAX_WAITING: usize = 2_048;
+/// How long a shutdown waits for queued lines to be written. In the worst case, 250 ms of
+/// the grace period are left when the gateway has stopped.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(100);
+/// Capacity of the queue of lines, about the number that an instance at full load logs in
+/// one second.
+const QUEUE_CAPACITY: usize = 2_048;
 
-/// Starts logging. The handle ends it when dropped.
+/// Starts logging, which lasts until the returned handle is dropped.
 pub(crate) fn start(level: LevelFilter) -> Result<LoggerHandle, FlexiLoggerError> {
-    // The libraries' own chatter is of use only when everything is asked for.
-    let others = level.min(LevelFilter::Error);
+    // Libraries log errors only, unless everything is asked for with the trace level.
+    let libraries = level.min(LevelFilter::Error);
     let mut spec = LogSpecification::builder();
     spec.default(match level {
         LevelFilter::Trace => level,
-        _ => others,
+        _ => libraries,
     });
     for module in ["jd_gateway", "jd_adapter", "jd_net", "jacinthdeal_gateway"] {
         spec.module(module, level);
@@ -45,27 +45,27 @@
         .start()
 }
 
-/// Hands lines to a thread that writes them.
+/// Queues lines for a thread that writes them.
 ///
-/// Guards against a reader of standard output that stands still: writing would
-/// block the thread that serves requests. Lines beyond the queue are dropped
-/// and counted, and the count is written with the next line.
+/// If the reader of standard output stalls, direct writes would block the threads that
+/// serve requests. Lines that do not fit into the queue are dropped and counted, and the
+/// count is logged before the next line.
 struct QueueWriter {
     tx: Sender<Vec<u8>>,
     dropped: AtomicU64,
-    /// Closed by the writing thread when it has written everything.
-    written: Receiver<()>,
+    /// Closed by the writer thread when it ends.
+    writer_done: Receiver<()>,
 }
 
 impl QueueWriter {
     fn start() -> QueueWriter {
-        let (tx, rx) = async_channel::bounded(MAX_WAITING);
-        let (writes, written) = async_channel::bounded(1);
-        let writing = thread::Builder::new().name("log".into());
-        // Without its thread nothing is written, and every line counts as dropped.
-        let started = writing.spawn(move || {
+        let (tx, rx) = async_channel::bounded(QUEUE_CAPACITY);
+        let (done, writer_done) = async_channel::bounded(1);
+        let writer = thread::Builder::new().name("log".into());
+        // Without the thread nothing is written, and every line counts as dropped.
+        let started = writer.spawn(move || {
             write_lines(&rx);
-            drop(writes);
+            drop(done);
         });
         if started.is_err() {
             tx.close();
@@ -73,7 +73,7 @@
         QueueWriter {
             tx,
             dropped: AtomicU64::new(0),
-            written,
+            writer_done,
         }
     }
 
@@ -84,14 +84,14 @@
     }
 }
 
-/// Writes lines, as many at a time as are there.
+/// Writes lines until the queue is closed, with a single write for all queued lines.
 fn write_lines(rx: &Receiver<Vec<u8>>) {
     let mut out = std::io::stdout();
     while let Ok(mut buf) = rx.recv_blocking() {
         while let Ok(line) = rx.try_recv() {
             buf.extend_from_slice(&line);
         }
-        // Nobody reads standard output any more: there is nobody to tell.
+        // Standard output is closed, so the failure cannot be reported either.
         if out.write_all(&buf).is_err() {
             return;
         }
@@ -120,17 +120,18 @@
         Ok(())
     }
 
-    /// Waits until what is queued has been written, so that a stop's last lines
-    /// are not lost with the process, but not for a reader that stands still.
+    /// Waits until the queued lines have been written, so that the last lines of a shutdown
+    /// are not lost with the process. The wait is bounded, since a stalled reader of standard
+    /// output would otherwise hang the shutdown.
     fn shutdown(&self) {
         self.tx.close();
-        let written = async {
-            // Fails once the thread has ended, and nothing is ever sent.
-            let _ = self.written.recv().await;
+        let flushed = async {
+            // No message is ever sent: the receive fails when the writer thread ends.
+            let _ = self.writer_done.recv().await;
         };
-        let late = async {
-            Timer::after(LAST_LINES_WITHIN).await;
+        let timeout = async {
+            Timer::after(FLUSH_TIMEOUT).await;
         };
-        block_on(written.or(late));
+        block_on(flushed.or(timeout));
     }
 }
--- a/crates/gateway-daemon/src/main.rs
+++ b/crates/gateway-daemon/src/main.rs
@@ -1,5 +1,5 @@
-//! The daemon of a gateway instance: settings, logs, signals, and nothing else.
-//! All it does is in the libraries that it starts.
+//! The daemon of a gateway instance. It handles settings, logging and signals; requests are
+//! served by the libraries that it starts.
 
 mod args;
 mod daemon_error;
--- a/crates/gateway-daemon/src/serve.rs
+++ b/crates/gateway-daemon/src/serve.rs
@@ -1,4 +1,4 @@
-//! Starts the instance and stops it with grace.
+//! Starts the gateway and shuts it down gracefully.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -25,22 +25,27 @@
 use crate::daemon_error::SystemSnafu;
 use crate::logging;
 
-/// Runs until a signal has stopped the instance.
+/// Runs the gateway until a signal stops it.
 pub(crate) fn serve(args: &Args) -> Result<(), DaemonError> {
     let settings = GatewaySettings::read(&args.settings).context(SettingsSnafu)?;
     if args.check {
         println!("{}: settings are valid", args.settings.display());
         return Ok(());
     }
-    // Before anything else is started: a signal that comes first would end the
-    // process at once, one to read the settings again as well as one to stop.
+    // Handlers are installed before anything else is started: until then the default action
+    // of each of these signals, SIGHUP included, ends the process at once.
     let signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup]);
-    let signals = signals.context(SystemSnafu { what: "signals" })?;
+    let signals = signals.context(SystemSnafu {
+        resource: "signals",
+    })?;
     let logs = logging::start(settings.log_level).context(LogsSnafu)?;
     let workers = match settings.threads {
-        // One core: a second thread would only cost switches between them.
+        // With a single thread the executor runs on the main thread: on one core, a second
+        // thread would only add context switches.
         0 | 1 => None,
-        n => Some(Workers::start(n - 1).context(SystemSnafu { what: "threads" })?),
+        n => Some(Workers::start(n - 1).context(SystemSnafu {
+            resource: "threads",
+        })?),
     };
     let executor = match &workers {
         Some(workers) => workers.executor(),
@@ -58,32 +63,33 @@
         Arc::new(store),
     );
     let gateway = gateway.context(StartSnafu)?;
-    let running = until_stopped(&gateway, signals, &args.settings);
+    let running = run_until_stopped(&gateway, signals, &args.settings);
     async_io::block_on(executor.run(running));
     logs.shutdown();
     Ok(())
 }
 
-async fn until_stopped(gateway: &Gateway, mut signals: Signals, settings: &Path) {
+/// Waits for SIGTERM or SIGINT and then stops `gateway`.
+async fn run_until_stopped(gateway: &Gateway, mut signals: Signals, settings: &Path) {
     while let Some(signal) = signals.next().await {
         match signal {
-            Ok(Signal::Hup) => check_again(settings),
+            Ok(Signal::Hup) => check_settings(settings),
             _ => break,
         }
     }
-    // Further signals change nothing: the stop is under way.
-    let ignoring = async {
+    // Signals during the shutdown are received and ignored.
+    let ignore_signals = async {
         while signals.next().await.is_some() {}
         futures_lite::future::pending().await
     };
-    gateway.stop().or(ignoring).await;
+    gateway.stop().or(ignore_signals).await;
 }
 
-/// Addresses and bounds cannot change while the process runs; a file that has
-/// become wrong is better found now than at the next start.
-fn check_again(settings: &Path) {
+/// Checks the settings file without applying it. Addresses and bounds cannot change while the
+/// process runs, but an invalid file is reported here rather than at the next start.
+fn check_settings(settings: &Path) {
     match GatewaySettings::read(settings) {
-        Ok(_) => log::info!("settings read again; they take effect at the next start"),
-        Err(e) => log::error!(error:% = e; "settings are wrong; the old ones stay in force"),
+        Ok(_) => log::info!("settings file is valid; changes take effect at the next start"),
+        Err(e) => log::error!(error:% = e; "settings file is not valid; current settings kept"),
     }
 }
--- a/crates/gateway-daemon/tests/daemon.rs
+++ b/crates/gateway-daemon/tests/daemon.rs
@@ -1,4 +1,4 @@
-//! The daemon as a process.
+//! Tests of the daemon as a process.
 
 #![allow(clippy::expect_used, clippy::panic)]
 
@@ -13,10 +13,10 @@
 use rustix::process::Signal;
 use rustix::process::kill_process;
 
-/// Settings of an instance whose store is not there.
-fn settings(name: &str, last: u8) -> PathBuf {
+/// Writes a settings file that names a store address on which nothing listens.
+fn write_settings(name: &str, last_octet: u8) -> PathBuf {
     let [_, _, high, low] = std::process::id().to_be_bytes();
-    let ip = format!("127.{}.{low}.{last}", 1 + high % 250);
+    let ip = format!("127.{}.{low}.{last_octet}", 1 + high % 250);
     let text = format!(
         "[instance]\nname = {name}\nzone = a\ncallers = {ip}:7001\nready = {ip}:7002\n\
          locate = {ip}:7003\npeers = {ip}:7004\nmetrics = {ip}:7005\n\
@@ -33,12 +33,12 @@
     command
 }
 
-/// An operator looks for why an instance was gone and finds no line of its stop:
-/// the process had ended before the thread that writes had come to it.
+/// The last log lines of a shutdown used to be lost when the process ended before the writer
+/// lines, which leaves an operator without any line about the shutdown.
 #[test]
-fn a_stop_is_logged_to_its_end() {
+fn a_shutdown_is_logged_to_its_end() {
     for n in 0..5 {
-        let file = settings(&format!("stop-{n}"), 10 + n);
+        let file = write_settings(&format!("stop-{n}"), 10 + n);
         let mut child = daemon(&file)
             .stdout(Stdio::piped())
             .spawn()
@@ -55,13 +55,13 @@
 }
 
 #[test]
-fn settings_can_be_checked_without_running() {
-    let file = settings("check", 20);
+fn the_check_option_validates_settings_without_serving() {
+    let file = write_settings("check", 20);
     let checked = daemon(&file).arg("--check").output().expect("a process");
     assert!(checked.status.success());
     fs::write(&file, "[instance]\nname = check\n").expect("a settings file");
     let checked = daemon(&file).arg("--check").output().expect("a process");
     assert!(!checked.status.success());
-    let said = String::from_utf8_lossy(&checked.stderr).into_owned();
-    assert!(said.contains("zone"), "{said}");
+    let stderr = String::from_utf8_lossy(&checked.stderr).into_owned();
+    assert!(stderr.contains("zone"), "{stderr}");
 }
--- a/crates/gateway-daemon/tests/soak.rs
+++ b/crates/gateway-daemon/tests/soak.rs
@@ -1,7 +1,7 @@
-//! Soaks real gateway processes: seeds of overlapping faults, and the promises
-//! checked from what callers and upstreams saw.
+//! Soak test of real gateway processes. Each seed draws overlapping faults, and the
+//! guarantees are checked against the records of callers and upstreams.
 //!
-//! Without arguments it plays six seeds. `--seeds 1..50 --jobs 6` plays more.
+//! Runs six seeds by default; `--seeds 1..50 --jobs 6` runs more.
 
 #![allow(clippy::expect_used, clippy::panic)]
 
@@ -38,16 +38,16 @@
 use rustix::process::Signal;
 use rustix::process::kill_process;
 
-/// Seeds that are played when none are named: one of planned work and one of all faults,
-/// each of the first plans, with upstreams that name limits, and with those that give
-/// notice in their answers.
-const SHORT: [u64; 6] = [4, 5, 4_000, 4_001, 5_000, 5_001];
-/// Seeds that this process has begun to play.
-static PLAYED: AtomicU8 = AtomicU8::new(0);
-/// The soak's name where a filter names tests.
-const NAME: &str = "soak";
+/// Seeds that run by default. Each pair is a plan with planned faults only and one with all
+/// faults: first without limits, then with upstreams that announce limits, then with
+/// upstreams that announce departures and back-offs in their answers.
+const DEFAULT_SEEDS: [u64; 6] = [4, 5, 4_000, 4_001, 5_000, 5_001];
+/// The number of seeds that this process has started.
+static SEEDS_STARTED: AtomicU8 = AtomicU8::new(0);
+/// The name that test filters are matched against.
+const TEST_NAME: &str = "soak";
 
-/// What is played.
+/// The parsed command line.
 #[derive(Debug, Clone)]
 struct Args {
     seeds: Seeds,
@@ -58,7 +58,7 @@
     filters: Vec<String>,
 }
 
-/// Seeds, as `1..50` or `7`.
+/// Seeds, given as `1..50` (the end is excluded) or `7`.
 #[derive(Debug, Clone)]
 struct Seeds(Vec<u64>);
 
@@ -78,7 +78,7 @@
     let seeds = long("seeds")
         .help("Seeds, as 1..50 or 7")
         .argument::<Seeds>("SEEDS")
-        .fallback(Seeds(SHORT.into()));
+        .fallback(Seeds(DEFAULT_SEEDS.into()));
     let jobs = long("jobs")
         .help("Seeds at a time")
         .argument::<usize>("COUNT")
@@ -107,7 +107,7 @@
     .descr("Soaks real gateway processes")
 }
 
-/// The processes of a seed. They are ended with it.
+/// The gateway processes of a seed. Those that still run are killed on drop.
 struct Processes {
     running: Mutex<Vec<Option<Child>>>,
     starts: Mutex<Vec<u32>>,
@@ -125,15 +125,15 @@
 }
 
 impl Fleet for Processes {
-    fn start(&self, place: usize, settings: &str) {
+    fn start(&self, index: usize, settings: &str) {
         let start = {
             let mut starts = lock(&self.starts);
-            starts[place] += 1;
-            starts[place]
+            starts[index] += 1;
+            starts[index]
         };
-        let file = self.dir.join(format!("{place}.ini"));
+        let file = self.dir.join(format!("{index}.ini"));
         fs::write(&file, settings).expect("a settings file");
-        let log = self.dir.join(format!("{place}-{start}.log"));
+        let log = self.dir.join(format!("{index}-{start}.log"));
         let log = File::create(log).expect("a log file");
         let errors = log.try_clone().expect("a log file");
         let child = Command::new(env!("CARGO_BIN_EXE_jacinthdeal-gateway"))
@@ -143,10 +143,10 @@
             .stdout(log)
             .stderr(errors)
             .spawn();
-        lock(&self.running)[place] = Some(child.expect("a process"));
+        lock(&self.running)[index] = Some(child.expect("a process"));
     }
 
-    fn signal(&self, place: usize, signal: ProcessSignal) {
+    fn signal(&self, index: usize, signal: ProcessSignal) {
         let signal = match signal {
             ProcessSignal::Kill => Signal::KILL,
             ProcessSignal::Stop => Signal::TERM,
@@ -154,20 +154,20 @@
             ProcessSignal::Resume => Signal::CONT,
             ProcessSignal::Reload => Signal::HUP,
         };
-        // Not waited for yet, so the number is still this process's own.
-        if let Some(child) = &lock(&self.running)[place] {
+        // The child has not been waited for, so its process ID cannot have been reused.
+        if let Some(child) = &lock(&self.running)[index] {
             kill_process(Pid::from_child(child), signal).expect("a process of ours");
         }
     }
 
-    fn is_running(&self, place: usize) -> bool {
+    fn is_running(&self, index: usize) -> bool {
         let mut running = lock(&self.running);
-        let ended = match &mut running[place] {
+        let ended = match &mut running[index] {
             Some(child) => child.try_wait().expect("a process of ours").is_some(),
             None => true,
         };
         if ended {
-            running[place] = None;
+            running[index] = None;
         }
         !ended
     }
@@ -176,17 +176,17 @@
 impl Drop for Processes {
     fn drop(&mut self) {
         for child in lock(&self.running).iter_mut().flatten() {
-            // Ended already is as good.
+            // Fails if the process has already ended, which is as good.
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 }
 
-/// Plays a seed; what was wrong, and a line on it.
-fn play(seed: u64, instances: usize) -> (bool, String) {
+/// Runs a seed. Returns whether all guarantees held, and a report.
+fn run_seed(seed: u64, instances: usize) -> (bool, String) {
     let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("soak-{seed}"));
-    // What an earlier play of the seed left.
+    // Files of an earlier run of the seed.
     let _ = fs::remove_dir_all(&dir);
     fs::create_dir_all(&dir).expect("a folder for logs");
     let plan = Plan::draw(seed);
@@ -194,10 +194,11 @@
     let workers = Workers::start(2).expect("threads");
     let executor = workers.executor();
     let fleet = Arc::new(Processes::new(dir.clone(), instances));
-    // A loopback network for each seed of each process that soaks.
-    let [_, _, _, own] = std::process::id().to_be_bytes();
-    let place = PLAYED.fetch_add(1, Ordering::Relaxed) % 250;
-    let network = [127, 2 + own % 250, place];
+    // Each seed of each process gets its own loopback network, so that concurrent soaks do
+    // not share addresses.
+    let [_, _, _, pid_octet] = std::process::id().to_be_bytes();
+    let seed_octet = SEEDS_STARTED.fetch_add(1, Ordering::Relaxed) % 250;
+    let network = [127, 2 + pid_octet % 250, seed_octet];
     let began = Instant::now();
     let played = block_on(soak(&executor, &plan, fleet, network, instances));
     let took = began.elapsed();
@@ -240,9 +241,10 @@
 
 fn main() -> ExitCode {
     let args = args().run();
-    let named = |f: &String| f == NAME || (!args.exact && NAME.contains(f.as_str()));
-    let is_asked = args.filters.is_empty() || args.filters.iter().any(named);
-    if !is_asked || args.skipped.iter().any(named) {
+    let matches_name =
+        |f: &String| f == TEST_NAME || (!args.exact && TEST_NAME.contains(f.as_str()));
+    let is_selected = args.filters.is_empty() || args.filters.iter().any(matches_name);
+    if !is_selected || args.skipped.iter().any(matches_name) {
         println!("test result: ok. 0 passed; 0 failed");
         return ExitCode::SUCCESS;
     }
@@ -256,19 +258,19 @@
                     let Some(seed) = next else {
                         return;
                     };
-                    let (good, text) = play(seed, args.instances);
+                    let (passed, text) = run_seed(seed, args.instances);
                     println!("{text}");
-                    lock(&results).push(good);
+                    lock(&results).push(passed);
                 }
             });
         }
     });
     let results = lock(&results);
-    let good = results.iter().filter(|good| **good).count();
-    let bad = results.len() - good;
-    let verdict = if bad == 0 { "ok" } else { "FAILED" };
-    println!("test result: {verdict}. {good} passed; {bad} failed");
-    match bad {
+    let passed = results.iter().filter(|passed| **passed).count();
+    let failed = results.len() - passed;
+    let verdict = if failed == 0 { "ok" } else { "FAILED" };
+    println!("test result: {verdict}. {passed} passed; {failed} failed");
+    match failed {
         0 => ExitCode::SUCCESS,
         _ => ExitCode::FAILURE,
     }
