--- a/crates/settings/src/gateway_settings.rs
+++ b/crates/settings/src/gateway_settings.rs
@@ -14,7 +14,7 @@
 use crate::key::optional;
 use crate::key::required;
 
-/// Every key of a gateway's settings file.
+/// All keys of the settings file of a gateway.
 pub const GATEWAY_KEYS: &[Key] = &[
     required("instance", "name", "text", "at least one character"),
     required(
@@ -136,68 +136,69 @@
     ),
 ];
 
-/// The part of the time for a revocation during which requests are still sent
-/// on old knowledge, in hundredths. Beyond it the users' contract counts a
-/// request as not served, so nothing is gained by the risk.
-const PROOF_PERCENT: u32 = 60;
+/// The longest staleness at which requests are still sent, as a percentage of the time
+/// within which a revocation must take effect. Beyond it the users' contract counts a request
+/// as not served, so that sending it would be a risk without any gain.
+const MAX_STALENESS_PERCENT: u32 = 60;
 
-/// The settings of a gateway instance, checked.
+/// The validated settings of a gateway instance.
 #[derive(Debug, Clone)]
 pub struct GatewaySettings {
-    /// The instance's name, for logs.
+    /// The name of the instance, for logs.
     pub name: CompactString,
-    /// The availability zone that it stands in.
+    /// The availability zone of the instance.
     pub zone: Name,
-    /// Where it answers callers.
+    /// The listen address for callers.
     pub callers: SocketAddr,
-    /// Where it says whether it is ready.
+    /// The listen address for readiness checks.
     pub ready: SocketAddr,
-    /// Where it tells callers which addresses to use.
+    /// The listen address for locate requests, which return the addresses that callers use.
     pub locate: SocketAddr,
-    /// Where it answers other instances.
+    /// The listen address for other instances.
     pub peers: SocketAddr,
-    /// Where its metrics are.
+    /// The listen address for metrics.
     pub metrics: SocketAddr,
-    /// Executor threads.
+    /// The number of executor threads.
     pub threads: usize,
-    /// The processor time that it may use, in hundredths of a core.
+    /// The processor time that the instance may use, in hundredths of a core.
     pub core_percent: u32,
-    /// Its link, in megabits a second.
+    /// The bandwidth of the network link, in megabits per second.
     pub link_mbps: u32,
-    /// Open connections of callers.
+    /// The maximum number of open connections of callers.
     pub max_connections: usize,
     /// True when the whole system starts for the first time.
     pub first_start: bool,
-    /// Where the store is.
+    /// The address of the store.
     pub store: SocketAddr,
-    /// How often the store is asked for its revision.
+    /// The interval at which the revision of the store is polled.
     pub revision_poll_interval: Duration,
-    /// How long the instance's entry outlives it.
+    /// How long the instance entry stays in the store after the last renewal of its lease.
     pub lease: Duration,
-    /// How long callers may keep addresses.
+    /// How long callers may cache a locate answer.
     pub answer_lifetime: Duration,
-    /// How long knowledge counts after it was proven.
+    /// The maximum time since the state of the instance was last confirmed. Requests are not
+    /// sent on staler state.
     pub max_staleness: Duration,
-    /// How long a stop may take.
+    /// The maximum duration of a graceful shutdown.
     pub grace_period: Duration,
-    /// Repeats for each request.
+    /// The ratio of retries to requests that is allowed, at one service over all instances.
     pub retry_ratio: f64,
-    /// Repeats beyond that, of all instances.
+    /// The number of retries that is allowed beyond the ratio, over all instances.
     pub retry_slack: f64,
-    /// The span over which repeats are counted.
+    /// The window over which retries are counted.
     pub retry_window: Duration,
-    /// What is logged.
+    /// The least severe level that is logged.
     pub log_level: LevelFilter,
 }
 
 impl GatewaySettings {
-    /// Reads and checks a file.
+    /// Reads and validates a file.
     pub fn read(path: &Path) -> Result<GatewaySettings, SettingsError> {
         let raw = RawSettings::read_keys(path, GATEWAY_KEYS)?;
         GatewaySettings::try_from(&raw)
     }
 
-    /// Checks the text of a file called `file`.
+    /// Validates the `text` of a file. The name `file` is used in errors.
     pub fn parse(file: &str, text: &str) -> Result<GatewaySettings, SettingsError> {
         let raw = RawSettings::parse_keys(file, text, GATEWAY_KEYS)?;
         GatewaySettings::try_from(&raw)
@@ -240,7 +241,7 @@
             revision_poll_interval: millis("store", "confirm-every-ms", 100, 60_000)?,
             lease: millis("store", "lease-ms", 1_000, 600_000)?,
             answer_lifetime: millis("callers", "answer-lifetime-ms", 100, 60_000)?,
-            max_staleness: revoke_within * PROOF_PERCENT / 100,
+            max_staleness: revoke_within * MAX_STALENESS_PERCENT / 100,
             grace_period: seconds("stop", "grace-s", 1.0)?,
             retry_ratio: quantity("repeats", "ratio", 0.0, 1.0)?,
             retry_slack: quantity("repeats", "slack", 0.0, 1_000_000.0)?,
--- a/crates/settings/src/key.rs
+++ b/crates/settings/src/key.rs
@@ -1,17 +1,17 @@
-//! Every key that a settings file may have.
+//! The keys that a settings file may contain.
 
-/// One key of the settings file, as the operators' page lists it.
+/// A key of a settings file, as the operators' page lists it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Key {
     /// The section.
     pub section: &'static str,
-    /// The key; `*` for a section whose keys are names.
+    /// The key; `*` in a section whose keys are arbitrary names.
     pub key: &'static str,
     /// The unit or form of the value.
     pub unit: &'static str,
-    /// The default; none if the key must be given.
+    /// The default; none if the key is required.
     pub default: Option<&'static str>,
-    /// The bounds, for people.
+    /// The bounds, in words for error messages.
     pub bounds: &'static str,
 }
 
@@ -46,7 +46,7 @@
     }
 }
 
-/// Every key, in the order of the operators' page.
+/// All keys of the settings file of an entry instance, in the order of the operators' page.
 pub const KEYS: &[Key] = &[
     required(
         "instance",
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,10 +1,10 @@
-//! A daemon's settings, checked before anything starts.
+//! The settings of the daemons, validated before anything starts.
 //!
-//! Read from an INI file. What the file says is raw text with a place;
-//! [`Settings`] is what is left when every key was known, present where it must
-//! be, and within its bounds. An error names file, section, key and value, and
-//! says what would be right. All keys are listed in [`KEYS`], which the
-//! operators' page is tested against.
+//! Settings are read from an INI file into [`RawSettings`], which hold text. Validation
+//! turns these into [`Settings`] or [`GatewaySettings`] and fails if a key is unknown,
+//! missing or out of bounds. An error names the file, the section, the key and the value,
+//! and says how to correct it. All keys are listed in [`KEYS`] and [`GATEWAY_KEYS`], against
+//! which the operators' pages are tested.
 
 mod gateway_settings;
 mod key;
--- a/crates/settings/src/raw_settings.rs
+++ b/crates/settings/src/raw_settings.rs
@@ -1,4 +1,4 @@
-//! What a settings file says, not yet believed.
+//! Settings as the text of a file, before their values are validated.
 
 use std::path::Path;
 
@@ -13,8 +13,8 @@
 use crate::settings_error::RepeatedSnafu;
 use crate::settings_error::UnknownSnafu;
 
-/// What a settings file says. Every key is known and stands there once, but no
-/// value has been looked at.
+/// The contents of a settings file. Each key is known and occurs only once, but the values
+/// have not been validated.
 #[derive(Debug)]
 pub struct RawSettings {
     file: CompactString,
@@ -23,12 +23,12 @@
 }
 
 impl RawSettings {
-    /// Reads a file.
+    /// Reads the settings file of an entry instance.
     pub fn read(path: &Path) -> Result<RawSettings, SettingsError> {
         RawSettings::read_keys(path, KEYS)
     }
 
-    /// Reads a file that has `keys`.
+    /// Reads a settings file that may contain `keys`.
     pub(crate) fn read_keys(
         path: &Path,
         keys: &'static [Key],
@@ -43,12 +43,14 @@
         }
     }
 
-    /// Reads the text of a file called `file`.
+    /// Parses the `text` of the settings file of an entry instance. The name `file` is used in
+    /// errors.
     pub fn parse(file: &str, text: &str) -> Result<RawSettings, SettingsError> {
         RawSettings::parse_keys(file, text, KEYS)
     }
 
-    /// Reads the text of a file called `file` that has `keys`.
+    /// Parses the `text` of a settings file that may contain `keys`. The name `file` is used in
+    /// errors.
     pub(crate) fn parse_keys(
         file: &str,
         text: &str,
@@ -69,17 +71,17 @@
         Ok(raw)
     }
 
-    /// The file's name, for errors.
+    /// The name of the file, for errors.
     pub(crate) fn file(&self) -> &CompactString {
         &self.file
     }
 
-    /// The text given for a key.
+    /// The text of a key; none if the file does not contain the key.
     pub(crate) fn text(&self, section: &str, key: &str) -> Option<&str> {
         self.ini.section(Some(section)).and_then(|s| s.get(key))
     }
 
-    /// All pairs of a section.
+    /// All key-value pairs of a section.
     pub(crate) fn pairs(&self, section: &str) -> impl Iterator<Item = (&str, &str)> {
         self.ini
             .section(Some(section))
@@ -87,19 +89,19 @@
             .flat_map(|s| s.iter())
     }
 
-    /// The checked value of a key, from the file or its default.
+    /// The value of a key, read by `parse` from the text in the file or from the default.
     pub(crate) fn value<T>(
         &self,
         section: &'static str,
         key: &'static str,
-        read: impl FnOnce(&str) -> Option<T>,
+        parse: impl FnOnce(&str) -> Option<T>,
     ) -> Result<T, SettingsError> {
-        let known = self
+        let definition = self
             .keys
             .iter()
             .find(|k| k.section == section && k.key == key);
         let (unit, bounds, default) =
-            known.map_or(("", "", None), |k| (k.unit, k.bounds, k.default));
+            definition.map_or(("", "", None), |k| (k.unit, k.bounds, k.default));
         let file = self.file.clone();
         match self.text(section, key).or(default) {
             None => Err(SettingsError::Missing {
@@ -109,7 +111,7 @@
                 unit,
                 bounds,
             }),
-            Some(text) => read(text).ok_or_else(|| {
+            Some(text) => parse(text).ok_or_else(|| {
                 let (key, value) = (CompactString::from(key), CompactString::from(text));
                 SettingsError::Invalid {
                     file,
@@ -130,15 +132,15 @@
                 let known = self
                     .keys
                     .iter()
-                    .any(|k| k.section == section && is_key(k, key));
-                let place = || {
+                    .any(|k| k.section == section && matches_key(k, key));
+                let location = || {
                     (
                         self.file.clone(),
                         CompactString::from(section),
                         CompactString::from(key),
                     )
                 };
-                let (file, section_text, key_text) = place();
+                let (file, section_text, key_text) = location();
                 let remedy = remedy_for(self.keys, section);
                 ensure!(
                     known,
@@ -149,7 +151,7 @@
                         remedy
                     }
                 );
-                let (file, section_text, key_text) = place();
+                let (file, section_text, key_text) = location();
                 let once = properties.get_all(key).count() == 1
                     && self.ini.section_all(Some(section)).count() <= 1;
                 ensure!(
@@ -166,8 +168,8 @@
     }
 }
 
-fn is_key(known: &Key, key: &str) -> bool {
-    known.key == "*" || known.key == key
+fn matches_key(definition: &Key, key: &str) -> bool {
+    definition.key == "*" || definition.key == key
 }
 
 fn remedy_for(all: &[Key], section: &str) -> CompactString {
--- a/crates/settings/src/settings.rs
+++ b/crates/settings/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings that have been checked.
+//! The validated settings of an entry instance.
 
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -17,84 +17,84 @@
 use crate::SettingsError;
 use crate::settings_error::SameAddressSnafu;
 
-/// Who and where an instance is.
+/// The zone, the addresses and the threads of an instance.
 #[derive(Debug, Clone)]
 pub struct InstanceSettings {
-    /// The hall that it stands in.
+    /// The availability zone of the instance; its key is `hall`.
     pub zone: Name,
-    /// Where it answers callers.
+    /// The listen address for callers.
     pub callers: SocketAddr,
-    /// Where it answers other instances.
+    /// The listen address for other instances.
     pub peers: SocketAddr,
-    /// Where it answers operators and the metrics' collector.
+    /// The listen address for operators and the metrics collector.
     pub operators: SocketAddr,
-    /// Executor threads.
+    /// The number of executor threads.
     pub threads: usize,
 }
 
-/// Where the platform's services are.
+/// The addresses of the platform's services.
 #[derive(Debug, Clone)]
 pub struct PlatformSettings {
-    /// The key-value service.
+    /// The address of the key-value service.
     pub key_value: SocketAddr,
-    /// The list of instances.
+    /// The address of the service that lists instances.
     pub instances: SocketAddr,
 }
 
-/// What callers may cost.
+/// Limits for callers.
 #[derive(Debug, Clone)]
 pub struct CallerSettings {
-    /// How long callers may keep a locate answer.
+    /// How long callers may cache a locate answer.
     pub answer_lifetime: Duration,
-    /// The largest body of a request, in bytes.
+    /// The maximum size of a request body, in bytes.
     pub max_body: usize,
-    /// Open connections.
+    /// The maximum number of open connections.
     pub max_connections: usize,
 }
 
-/// How work is queued, retried and deferred.
+/// Limits on queues, retries and deferred requests.
 #[derive(Debug, Clone)]
 pub struct WorkSettings {
-    /// Requests that may wait for one pool.
+    /// The maximum number of requests that wait for one pool.
     pub max_queue: usize,
-    /// Retries for a hundred first attempts.
+    /// The maximum number of retries for 100 first attempts.
     pub retry_percent: u32,
-    /// Deferred requests that may wait to become durable.
+    /// The maximum number of deferred requests that wait to become durable.
     pub max_deferred: usize,
-    /// Engines that load at the same time.
+    /// The maximum number of engines that load a model at the same time.
     pub max_concurrent_loads: usize,
 }
 
-/// What is logged.
+/// Settings of the log.
 #[derive(Debug, Clone)]
 pub struct LogSettings {
-    /// The least severe level that is.
+    /// The least severe level that is logged.
     pub level: LevelFilter,
 }
 
-/// Somebody who may use the operators' language.
+/// An operator, who may use the operators' language.
 #[derive(Debug, Clone)]
 pub struct Operator {
     /// The name in the audit trail.
     pub name: Name,
-    /// What the operator's credential hashes to.
+    /// The digest of the operator's credential.
     pub credential: CredentialDigest,
 }
 
-/// All settings of a daemon.
+/// All settings of an entry instance.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// Who and where the instance is.
+    /// The zone, the addresses and the threads of the instance.
     pub instance: InstanceSettings,
-    /// Where the platform's services are.
+    /// The addresses of the platform's services.
     pub platform: PlatformSettings,
-    /// What callers may cost.
+    /// Limits for callers.
     pub callers: CallerSettings,
-    /// How work is queued, retried and deferred.
+    /// Limits on queues, retries and deferred requests.
     pub work: WorkSettings,
-    /// What is logged.
+    /// Settings of the log.
     pub log: LogSettings,
-    /// Who may use the operators' language.
+    /// The operators.
     pub operators: Vec<Operator>,
 }
 
@@ -187,12 +187,13 @@
     }
 }
 
-/// Port 0 lets the system choose, so several keys may have it.
-fn check_addresses(raw: &RawSettings, i: &InstanceSettings) -> Result<(), SettingsError> {
+/// Checks that the listen addresses differ. Port 0 may be given several times, since the
+/// system then chooses a free port for each.
+fn check_addresses(raw: &RawSettings, instance: &InstanceSettings) -> Result<(), SettingsError> {
     let all = [
-        ("callers", i.callers),
-        ("peers", i.peers),
-        ("operators", i.operators),
+        ("callers", instance.callers),
+        ("peers", instance.peers),
+        ("operators", instance.operators),
     ];
     for (n, (second, address)) in all.iter().enumerate() {
         for (first, other) in &all[..n] {
--- a/crates/settings/src/settings_error.rs
+++ b/crates/settings/src/settings_error.rs
@@ -1,9 +1,9 @@
-//! Why settings are refused.
+//! Errors in settings files.
 
 use compact_str::CompactString;
 use snafu::Snafu;
 
-/// Why settings are refused.
+/// An error in a settings file.
 #[derive(Debug, Snafu, PartialEq, Eq)]
 #[snafu(visibility(pub(crate)))]
 pub enum SettingsError {
@@ -12,7 +12,7 @@
     Unreadable {
         /// The file.
         file: CompactString,
-        /// What the system says.
+        /// The error of the operating system.
         reason: CompactString,
     },
     /// The file is not INI.
@@ -20,10 +20,10 @@
     NotIni {
         /// The file.
         file: CompactString,
-        /// Where and why.
+        /// The position and the fault, as the parser reports them.
         reason: CompactString,
     },
-    /// No such section or key.
+    /// The section or the key is unknown.
     #[snafu(display("{file}: [{section}] {key}: no such key; {remedy}"))]
     Unknown {
         /// The file.
@@ -32,10 +32,10 @@
         section: CompactString,
         /// The key.
         key: CompactString,
-        /// What to write instead.
+        /// The sections or keys that exist.
         remedy: CompactString,
     },
-    /// The key must be given.
+    /// A required key is missing.
     #[snafu(display("{file}: [{section}] {key}: missing; add `{key} = {unit}`, {bounds}"))]
     Missing {
         /// The file.
@@ -49,7 +49,7 @@
         /// Its bounds.
         bounds: &'static str,
     },
-    /// The key is there more than once.
+    /// The key is given more than once.
     #[snafu(display("{file}: [{section}] {key}: given more than once; keep one of them"))]
     Repeated {
         /// The file.
@@ -59,7 +59,7 @@
         /// The key.
         key: CompactString,
     },
-    /// The value is wrong.
+    /// The value has the wrong form or is out of bounds.
     #[snafu(display("{file}: [{section}] {key} = {value}: not valid; give {unit}, {bounds}"))]
     Invalid {
         /// The file.
@@ -82,9 +82,9 @@
     SameAddress {
         /// The file.
         file: CompactString,
-        /// One key.
+        /// The first key.
         first: &'static str,
-        /// The other key.
+        /// The second key.
         second: &'static str,
         /// The address.
         address: CompactString,
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: what is accepted, and what an error says.
+//! Tests of settings: valid and invalid files, and error messages.
 
 #![allow(clippy::unwrap_used, clippy::panic)]
 
@@ -10,7 +10,7 @@
 use proptest::test_runner::RngSeed;
 use test_case::test_case;
 
-const GOOD: &str = "\
+const VALID: &str = "\
 [instance]
 hall = a
 callers = 127.0.0.1:7001
@@ -21,28 +21,28 @@
 instances = 127.0.0.1:7000
 ";
 
-fn check(text: &str) -> Result<Settings, String> {
+fn parse(text: &str) -> Result<Settings, String> {
     let raw = RawSettings::parse("x.ini", text).map_err(|e| e.to_string())?;
     Settings::try_from(&raw).map_err(|e| e.to_string())
 }
 
 #[test]
-fn defaults_fill_what_is_left_out() {
-    let settings = check(GOOD).unwrap();
+fn defaults_replace_omitted_keys() {
+    let settings = parse(VALID).unwrap();
     assert_eq!(settings.instance.threads, 4);
     assert_eq!(settings.callers.answer_lifetime.as_millis(), 5_000);
 }
 
 #[test]
 fn every_default_is_within_its_bounds() {
-    let mut text = GOOD.to_owned();
+    let mut text = VALID.to_owned();
     for section in ["callers", "work", "log"] {
         text.push_str(&format!("[{section}]\n"));
         for k in KEYS.iter().filter(|k| k.section == section) {
             text.push_str(&format!("{} = {}\n", k.key, k.default.unwrap()));
         }
     }
-    assert!(check(&text).is_ok());
+    assert!(parse(&text).is_ok());
 }
 
 #[test_case(
@@ -91,8 +91,8 @@
     "x.ini: [operators] alice = secret: not valid; give SHA-256 of the operator's credential, 64 hexadecimal digits"
 )]
 fn an_error_names_file_key_and_remedy(from: &str, to: &str, expected: &str) {
-    let text = GOOD.replacen(from, to, 1);
-    assert_eq!(check(&text).unwrap_err(), expected);
+    let text = VALID.replacen(from, to, 1);
+    assert_eq!(parse(&text).unwrap_err(), expected);
 }
 
 #[test]
@@ -128,9 +128,9 @@
         ..ProptestConfig::default()
     })]
 
-    // Any file is accepted or refused with a message, never a crash.
+    // Any text is either accepted or rejected with an error; the parser never panics.
     #[test]
-    fn any_text_is_accepted_or_refused(text in "(\\[[a-z]{0,9}\\]|[a-z-]{0,9} ?= ?|127.0.0.1:7|\n|;|\\PC){0,60}") {
-        drop(check(&text));
+    fn any_text_is_accepted_or_rejected(text in "(\\[[a-z]{0,9}\\]|[a-z-]{0,9} ?= ?|127.0.0.1:7|\n|;|\\PC){0,60}") {
+        drop(parse(&text));
     }
 }
