--- a/crates/explain/src/cause.rs
+++ b/crates/explain/src/cause.rs
@@ -1,37 +1,37 @@
-//! Why a request earned nothing, or late.
+//! Causes of refused, truncated and late requests.
 
-use crate::Line;
+use crate::LogLine;
 
-/// Why a request earned nothing, or late.
+/// Why a request was refused, truncated or answered late.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Cause {
-    /// Refused at once: its stages would have ended too late.
+    /// Refused without waiting: its stages were expected to end after the deadline.
     WouldMiss,
-    /// Its stages waited and did not end in time.
-    StagesHeld,
-    /// A piece of a stage failed too often, or every upstream was full.
+    /// Its stages did not end before the deadline.
+    StagesTimedOut,
+    /// A piece of a stage failed too often, or every upstream was at capacity.
     Overloaded,
-    /// No upstream was known for it.
+    /// The instance knew no upstream for the request.
     NoUpstream,
-    /// What the instance knew was too old, or it knew nothing yet.
-    Unproven,
-    /// Its credential or its address was not in force.
+    /// The state of the instance was too stale, or not loaded yet.
+    Stale,
+    /// The credential or the address of the request was not in force.
     NotAllowed,
     /// An upstream did not answer in time.
-    UpstreamSilent,
+    UpstreamTimedOut,
     /// An upstream failed.
     UpstreamFailed,
-    /// Its answer was cut off.
-    Cut,
-    /// Answered late, and mostly waiting for its stages.
+    /// The answer was cut off.
+    Truncated,
+    /// Answered late; the stages took more than half of the time.
     LateByStages,
-    /// Answered late, and mostly waiting for its upstream.
+    /// Answered late; the stages took half of the time or less.
     LateByUpstream,
-    /// Kept from upstreams, since those that ran it ended.
+    /// Quarantined, since upstreams that ran the request ended.
     Quarantined,
-    /// The upstreams name a limit and took no more.
+    /// The upstreams announced a limit and accepted no further requests.
     Limited,
-    /// Something else.
+    /// Any other cause.
     Other,
 }
 
@@ -39,14 +39,14 @@
     /// Every cause, in the order of the table.
     pub const ALL: [Cause; 14] = [
         Cause::WouldMiss,
-        Cause::StagesHeld,
+        Cause::StagesTimedOut,
         Cause::Overloaded,
         Cause::NoUpstream,
-        Cause::Unproven,
+        Cause::Stale,
         Cause::NotAllowed,
-        Cause::UpstreamSilent,
+        Cause::UpstreamTimedOut,
         Cause::UpstreamFailed,
-        Cause::Cut,
+        Cause::Truncated,
         Cause::LateByStages,
         Cause::LateByUpstream,
         Cause::Quarantined,
@@ -54,18 +54,18 @@
         Cause::Other,
     ];
 
-    /// Its name in tables.
+    /// The name in tables.
     pub const fn as_str(self) -> &'static str {
         match self {
             Cause::WouldMiss => "would-miss",
-            Cause::StagesHeld => "stages-held",
+            Cause::StagesTimedOut => "stages-held",
             Cause::Overloaded => "overloaded",
             Cause::NoUpstream => "no-upstream",
-            Cause::Unproven => "unproven",
+            Cause::Stale => "unproven",
             Cause::NotAllowed => "not-allowed",
-            Cause::UpstreamSilent => "silent",
+            Cause::UpstreamTimedOut => "silent",
             Cause::UpstreamFailed => "failed",
-            Cause::Cut => "cut",
+            Cause::Truncated => "cut",
             Cause::LateByStages => "late-stages",
             Cause::LateByUpstream => "late-upstream",
             Cause::Quarantined => "quarantined",
@@ -74,27 +74,31 @@
         }
     }
 
-    /// The cause that a line names by itself; none if it ends no request badly.
-    pub fn of(line: &Line) -> Option<Cause> {
-        match line.text.as_str() {
+    /// The cause that a single line states; none if the line reports neither a refusal nor a
+    /// truncated answer.
+    pub fn of(line: &LogLine) -> Option<Cause> {
+        match line.message.as_str() {
             "refused" => Some(Cause::of_refusal(line)),
-            "stream cut off" => Some(Cause::Cut),
+            "stream cut off" => Some(Cause::Truncated),
             _ => None,
         }
     }
 
-    fn of_refusal(line: &Line) -> Cause {
-        let held = line.input("detail").unwrap_or("").contains("did not end");
-        match line.input("outcome").unwrap_or("") {
-            "would-miss" if held => Cause::StagesHeld,
+    fn of_refusal(line: &LogLine) -> Cause {
+        let timed_out = line
+            .text_value("detail")
+            .unwrap_or("")
+            .contains("did not end");
+        match line.text_value("outcome").unwrap_or("") {
+            "would-miss" if timed_out => Cause::StagesTimedOut,
             "would-miss" => Cause::WouldMiss,
             "overloaded" => Cause::Overloaded,
             "no-upstream" => Cause::NoUpstream,
-            "not-serving" => Cause::Unproven,
+            "not-serving" => Cause::Stale,
             "unauthenticated" | "unknown-pipeline" => Cause::NotAllowed,
             "quarantined" => Cause::Quarantined,
             "limited" => Cause::Limited,
-            "deadline-passed" => Cause::UpstreamSilent,
+            "deadline-passed" => Cause::UpstreamTimedOut,
             "upstream-failed" => Cause::UpstreamFailed,
             _ => Cause::Other,
         }
--- a/crates/gateway/src/revision_poller.rs
+++ b/crates/gateway/src/revision_poller.rs
@@ -79,7 +79,7 @@
         let state = &self.link.state;
         // Jitter, so that instances do not poll at the same moment: the proof of the
         // first to poll spares the others theirs.
-        let due = state.settings.confirm_every;
+        let due = state.settings.revision_poll_interval;
         let due = due.mul_f64(0.85 + 0.3 * fastrand::f64());
         let mut wait = due;
         loop {
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -187,7 +187,7 @@
     /// True while the proof of freshness is recent enough to serve requests.
     pub(crate) fn is_fresh(&self) -> bool {
         self.proof_age()
-            .is_some_and(|age| age < self.settings.proof_lifetime)
+            .is_some_and(|age| age < self.settings.max_staleness)
     }
 
     /// True if callers may be directed to this instance.
@@ -414,9 +414,9 @@
 
     fn retry_limit(&self) -> RetryLimit {
         RetryLimit {
-            ratio: self.settings.repeat_ratio,
-            slack: self.settings.repeat_slack,
-            window: self.settings.repeat_window,
+            ratio: self.settings.retry_ratio,
+            slack: self.settings.retry_slack,
+            window: self.settings.retry_window,
         }
     }
 }
