--- a/crates/gateway-daemon/tests/soak.rs
+++ b/crates/gateway-daemon/tests/soak.rs
@@ -31,8 +31,8 @@
 use jd_net::lock;
 use jd_soak::Fleet;
 use jd_soak::Plan;
-use jd_soak::Played;
 use jd_soak::ProcessSignal;
+use jd_soak::SoakReport;
 use jd_soak::soak;
 use rustix::process::Pid;
 use rustix::process::Signal;
@@ -213,29 +213,29 @@
 fn report(
     seed: u64,
     plan: &Plan,
-    played: &Played,
+    report: &SoakReport,
     took: Duration,
     dir: &std::path::Path,
 ) -> (bool, String) {
-    let attempts = lock(&played.ledger.attempts);
+    let attempts = lock(&report.recorder.attempts);
     let served = attempts.iter().filter(|a| a.is_served()).count();
     let mut text = format!(
         "seed {seed}: {} faults, {served} of {} served, {} broken, {:.1} s, {} ms late",
         plan.steps.len(),
         attempts.len(),
-        played.broken.len(),
+        report.violations.len(),
         took.as_secs_f64(),
-        played.lag.as_millis()
+        report.lag.as_millis()
     );
-    for broken in played.broken.iter().take(10) {
+    for broken in report.violations.iter().take(10) {
         text += &format!("\n    {broken}");
     }
-    if !played.broken.is_empty() {
-        let seen = format!("{:#?}", played.ledger);
+    if !report.violations.is_empty() {
+        let seen = format!("{:#?}", report.recorder);
         fs::write(dir.join("seen"), seen).expect("a file for what was seen");
         text += &format!("\n    logs in {}", dir.display());
     }
-    (played.broken.is_empty(), text)
+    (report.violations.is_empty(), text)
 }
 
 fn main() -> ExitCode {
--- a/soak/src/bad_requests.rs
+++ b/soak/src/bad_requests.rs
@@ -4,12 +4,12 @@
 use std::time::Duration;
 
 use crate::Attempt;
-use crate::Broken;
-use crate::Ended;
 use crate::Fault;
-use crate::Kind;
-use crate::Run;
-use crate::Span;
+use crate::FaultSpan;
+use crate::Outcome;
+use crate::RequestKind;
+use crate::UpstreamRequest;
+use crate::Violation;
 
 /// Upstreams that may end before it has to be known: the users' bound.
 const ENDS_ALLOWED: usize = 3;
@@ -23,10 +23,14 @@
 const QUARANTINED: &str = "\"error\":\"quarantined\"";
 
 /// The promises on requests that end upstreams which were broken.
-pub(crate) fn judge(attempts: &[Attempt], runs: &[Run], spans: &[Span]) -> Vec<Broken> {
-    let mut bad: BTreeMap<u64, Vec<&Run>> = BTreeMap::new();
-    for run in runs.iter().filter(|r| r.ran) {
-        if let Some(number) = run.bad {
+pub(crate) fn judge(
+    attempts: &[Attempt],
+    runs: &[UpstreamRequest],
+    spans: &[FaultSpan],
+) -> Vec<Violation> {
+    let mut bad: BTreeMap<u64, Vec<&UpstreamRequest>> = BTreeMap::new();
+    for run in runs.iter().filter(|r| r.executed) {
+        if let Some(number) = run.crash_number {
             bad.entry(number).or_default().push(run);
         }
     }
@@ -39,16 +43,18 @@
         let later = runs.iter().filter(|r| r.at > known && is_calm(r.at, spans));
         let later = later.count();
         if later > MORE_ALLOWED {
-            broken.push(Broken {
-                promise: "bad requests are kept from upstreams",
+            broken.push(Violation {
+                guarantee: "bad requests are kept from upstreams",
                 detail: format!("{number} ran {later} times more, {} in all", runs.len()),
             });
         }
     }
-    let innocent = attempts.iter().filter(|a| !matches!(a.kind, Kind::Bad(_)));
+    let innocent = attempts
+        .iter()
+        .filter(|a| !matches!(a.kind, RequestKind::Crashing(_)));
     for a in innocent.filter(|a| is_quarantined(a)) {
-        broken.push(Broken {
-            promise: "others are let in",
+        broken.push(Violation {
+            guarantee: "others are let in",
             detail: format!("{} {:?} at {:?} was turned away", a.id, a.kind, a.sent),
         });
     }
@@ -56,8 +62,8 @@
 }
 
 /// True if neither instances nor the store were disturbed for a while.
-fn is_calm(at: Duration, spans: &[Span]) -> bool {
-    let disturbs = |s: &&Span| {
+fn is_calm(at: Duration, spans: &[FaultSpan]) -> bool {
+    let disturbs = |s: &&FaultSpan| {
         matches!(
             s.fault,
             Fault::Kill(..)
@@ -66,7 +72,7 @@
                 | Fault::Pause(..)
                 | Fault::Store(..)
                 | Fault::StoreLink(..)
-                | Fault::RevokeBehindCut(_)
+                | Fault::RevokeDuringPartition(_)
         )
     };
     let mut disturbed = spans.iter().filter(disturbs);
@@ -74,5 +80,5 @@
 }
 
 fn is_quarantined(a: &Attempt) -> bool {
-    matches!(&a.ended, Ended::Answer { body, .. } if body.contains(QUARANTINED))
+    matches!(&a.outcome, Outcome::Response { body, .. } if body.contains(QUARANTINED))
 }
--- a/soak/src/caller.rs
+++ b/soak/src/caller.rs
@@ -16,13 +16,13 @@
 use jd_net::with_timeout;
 
 use crate::Attempt;
-use crate::Ended;
-use crate::Kind;
+use crate::Outcome;
+use crate::RequestKind;
 use crate::config::HOST;
 use crate::config::KEYS;
-use crate::model::HOT;
-use crate::model::bad_body;
-use crate::world::World;
+use crate::environment::Environment;
+use crate::fake_upstream::HOT;
+use crate::fake_upstream::bad_body;
 
 /// How long a caller waits for an answer.
 const DEADLINE: Duration = Duration::from_millis(3_000);
@@ -37,7 +37,7 @@
 /// A caller that sends one request after the other.
 #[derive(Debug)]
 pub(crate) struct Caller {
-    pub(crate) world: Arc<World>,
+    pub(crate) environment: Arc<Environment>,
     pub(crate) pool: HttpPool,
     /// How often each instance was started.
     pub(crate) starts: Arc<Vec<AtomicU32>>,
@@ -65,61 +65,63 @@
     /// Sends one request; if it was not served, how long to wait.
     async fn request(&mut self, instance: usize) -> Option<Duration> {
         let kind = match self.rng.u8(0..12) {
-            0..2 if self.hot => Kind::Hot,
-            0..4 => Kind::Lookup,
-            4..7 => Kind::Booking,
-            7..9 => Kind::Draft,
-            9 | 10 => Kind::Tale,
+            0..2 if self.hot => RequestKind::Hot,
+            0..4 => RequestKind::Idempotent,
+            4..7 => RequestKind::NonIdempotent,
+            7..9 => RequestKind::ResumableStream,
+            9 | 10 => RequestKind::Stream,
             _ => {
-                let newest = self.world.version();
-                Kind::Probe(self.rng.u64(newest.saturating_sub(1).max(1)..=newest))
+                let newest = self.environment.version();
+                RequestKind::ConfigProbe(self.rng.u64(newest.saturating_sub(1).max(1)..=newest))
             }
         };
         self.send(instance, kind).await
     }
 
     /// Sends a request of a kind.
-    pub(crate) async fn send(&mut self, instance: usize, kind: Kind) -> Option<Duration> {
+    pub(crate) async fn send(&mut self, instance: usize, kind: RequestKind) -> Option<Duration> {
         let id = format!("{:016x}", self.rng.u64(..));
         let key = KEYS[self.rng.usize(..KEYS.len())];
         let start = self.starts[instance].load(Ordering::Relaxed);
-        let sent = self.world.ledger.now();
-        let address = self.world.callers_at(instance);
+        let sent = self.environment.recorder.now();
+        let address = self.environment.callers_at(instance);
         let sending = self
             .pool
             .send(address, request(&id, kind, key), DEADLINE, false);
-        let (ended, pause) = match sending.await {
+        let (outcome, pause) = match sending.await {
             Some(Ok(res)) => read(res).await,
-            Some(Err(SendError::NotSent)) => (Ended::NotSent, Some(THINKS)),
-            Some(Err(SendError::Broken)) => (Ended::Broken, Some(THINKS)),
-            None => (Ended::Silent, Some(THINKS)),
+            Some(Err(SendError::NotSent)) => (Outcome::NotSent, Some(THINKS)),
+            Some(Err(SendError::Broken)) => (Outcome::ConnectionLost, Some(THINKS)),
+            None => (Outcome::TimedOut, Some(THINKS)),
         };
-        self.world.ledger.attempt(Attempt {
+        self.environment.recorder.attempt(Attempt {
             id,
             kind,
             key,
             instance: (instance, start),
             sent,
-            over: self.world.ledger.now(),
-            ended,
+            ended: self.environment.recorder.now(),
+            outcome,
         });
         pause
     }
 }
 
-fn request(id: &str, kind: Kind, key: &str) -> Request<Body> {
+fn request(id: &str, kind: RequestKind, key: &str) -> Request<Body> {
     let path = match kind {
-        Kind::Lookup => "/look/x".into(),
-        Kind::Booking => "/book/x".into(),
-        Kind::Draft => "/draft/x".into(),
-        Kind::Tale => "/tell/x".into(),
-        Kind::Hot => "/look/hot".into(),
-        Kind::Bad(number) => format!("/{}/bad", BAD_WAYS[number as usize % BAD_WAYS.len()]),
-        Kind::Probe(version) => format!("/v{version}/x"),
+        RequestKind::Idempotent => "/look/x".into(),
+        RequestKind::NonIdempotent => "/book/x".into(),
+        RequestKind::ResumableStream => "/draft/x".into(),
+        RequestKind::Stream => "/tell/x".into(),
+        RequestKind::Hot => "/look/hot".into(),
+        RequestKind::Crashing(number) => {
+            format!("/{}/bad", BAD_WAYS[number as usize % BAD_WAYS.len()])
+        }
+        RequestKind::ConfigProbe(version) => format!("/v{version}/x"),
     };
     let body = match kind {
-        Kind::Hot => HOT.into(),
-        Kind::Bad(number) => bad_body(number),
+        RequestKind::Hot => HOT.into(),
+        RequestKind::Crashing(number) => bad_body(number),
         _ => id.to_string(),
     };
     let mut req = Request::new(jd_net::full(body));
@@ -145,7 +147,7 @@
     req
 }
 
-async fn read(mut res: HttpResponse) -> (Ended, Option<Duration>) {
+async fn read(mut res: HttpResponse) -> (Outcome, Option<Duration>) {
     let status = res.status.as_u16();
     let signature = res.header("jacinthdeal-signature").map(String::from);
     let told = res.header("retry-after").and_then(|t| t.parse().ok());
@@ -154,18 +156,18 @@
         told.unwrap_or(THINKS)
     });
     let mut body = String::new();
-    let whole = loop {
+    let complete = loop {
         match with_timeout(DEADLINE, res.chunk()).await {
             Some(Ok(Some(part))) => body.push_str(&String::from_utf8_lossy(&part)),
             Some(Ok(None)) => break true,
             Some(Err(_)) | None => break false,
         }
     };
-    let ended = Ended::Answer {
+    let outcome = Outcome::Response {
         status,
         signature,
         body,
-        whole,
+        complete,
     };
-    (ended, pause)
+    (outcome, pause)
 }
--- a/soak/src/world.rs
+++ b/soak/src/environment.rs
@@ -20,15 +20,15 @@
 use jd_net::lock;
 use serde_json::json;
 
-use crate::Ledger;
 use crate::LinkMode;
+use crate::Recorder;
 use crate::StoreMode;
 use crate::config;
 use crate::config::KEYS;
-use crate::model::Engine;
+use crate::fake_stage_upstream::FakeStageUpstream;
+use crate::fake_stage_upstream::Results;
+use crate::fake_upstream::FakeUpstream;
 use crate::relay::Relay;
-use crate::stages::Results;
-use crate::stages::StageEngine;
 use crate::store::Records;
 use crate::store_api::StoreApi;
 
@@ -68,12 +68,12 @@
 /// What answers at an upstream's address.
 #[derive(Debug)]
 pub(crate) enum Served {
-    Requests(Arc<Engine>),
-    Pieces(Arc<StageEngine>),
+    Requests(Arc<FakeUpstream>),
+    Pieces(Arc<FakeStageUpstream>),
 }
 
 impl Served {
-    pub(crate) fn engine(&self) -> &Engine {
+    pub(crate) fn engine(&self) -> &FakeUpstream {
         match self {
             Served::Requests(engine) => engine,
             Served::Pieces(stage) => &stage.engine,
@@ -83,9 +83,9 @@
 
 /// Everything around the instances: the store, upstreams, links, the operator.
 #[derive(Debug)]
-pub(crate) struct World {
+pub(crate) struct Environment {
     pub(crate) store: Arc<StoreApi>,
-    pub(crate) ledger: Arc<Ledger>,
+    pub(crate) recorder: Arc<Recorder>,
     pub(crate) places: Vec<Place>,
     pub(crate) store_links: Vec<Arc<Relay>>,
     ended: Receiver<String>,
@@ -101,15 +101,15 @@
     keys: usize,
 }
 
-impl World {
+impl Environment {
     /// Everything for `instances` instances, on loopback addresses that begin
     /// with `network`.
     pub(crate) fn start(
         executor: &Arc<Executor<'static>>,
         network: [u8; 3],
         instances: usize,
-    ) -> std::io::Result<World> {
-        let ledger = Arc::new(Ledger::default());
+    ) -> std::io::Result<Environment> {
+        let recorder = Arc::new(Recorder::default());
         let store = Arc::new(StoreApi::default());
         let results = Arc::new(Results::default());
         let listen = |address, handler: Arc<dyn Handler>| {
@@ -133,21 +133,21 @@
                 at(network, FIRST_ENGINE + n, SERVICE_PORT + 1),
                 address,
             )?;
-            let engine = Engine {
+            let engine = FakeUpstream {
                 id: Mutex::new(new_id()),
                 born: AtomicU64::new(now_ms()),
                 mode: Mutex::default(),
                 limit: Mutex::default(),
                 draining: AtomicBool::new(false),
                 says_leaving: AtomicBool::new(false),
-                ledger: Arc::clone(&ledger),
+                recorder: Arc::clone(&recorder),
                 results: Arc::clone(&results),
                 ended: tx.clone(),
             };
             let (handler, served): (Arc<dyn Handler>, Served) = match service {
                 "rank" => {
                     let address = link.address();
-                    let stage = Arc::new(StageEngine { engine, address });
+                    let stage = Arc::new(FakeStageUpstream { engine, address });
                     (
                         Arc::clone(&stage) as Arc<dyn Handler>,
                         Served::Pieces(stage),
@@ -168,9 +168,9 @@
                 link,
             });
         }
-        let world = World {
+        let environment = Environment {
             store,
-            ledger,
+            recorder,
             places,
             store_links,
             ended,
@@ -181,11 +181,11 @@
             }),
             _servers: servers,
         };
-        for place in &world.places {
-            world.register(place);
+        for place in &environment.places {
+            environment.register(place);
         }
-        world.configure();
-        Ok(world)
+        environment.configure();
+        Ok(environment)
     }
 
     /// The settings of an instance.
@@ -286,11 +286,11 @@
     /// under another identity.
     pub(crate) async fn end_by_requests(self: Arc<Self>, executor: Arc<Executor<'static>>) {
         while let Ok(id) = self.ended.recv().await {
-            let world = Arc::clone(&self);
+            let environment = Arc::clone(&self);
             let ending = async move {
-                let mut places = world.places.iter();
+                let mut places = environment.places.iter();
                 if let Some(place) = places.find(|p| p.handler.engine().id() == id) {
-                    world.end(place).await;
+                    environment.end(place).await;
                 }
             };
             executor.spawn(ending).detach();
@@ -299,7 +299,7 @@
 
     async fn end(&self, place: &Place) {
         Timer::after(ENDS_AFTER).await;
-        place.link.set(Some(LinkMode::Gone));
+        place.link.set(Some(LinkMode::Refuses));
         Timer::after(DOWN_BY_REQUEST).await;
         self.replace(place);
         place.link.set(None);
--- a/soak/src/stages.rs
+++ b/soak/src/fake_stage_upstream.rs
@@ -19,9 +19,9 @@
 use serde_json::Value;
 use serde_json::json;
 
-use crate::EngineMode;
-use crate::model::Engine;
-use crate::model::set_backoff;
+use crate::UpstreamMode;
+use crate::fake_upstream::FakeUpstream;
+use crate::fake_upstream::set_backoff;
 use crate::store_api::json_body;
 use crate::store_api::status;
 
@@ -71,12 +71,12 @@
 
 /// A stand-in of an upstream that works on pieces of stages.
 #[derive(Debug)]
-pub(crate) struct StageEngine {
-    pub(crate) engine: Engine,
+pub(crate) struct FakeStageUpstream {
+    pub(crate) engine: FakeUpstream,
     pub(crate) address: SocketAddr,
 }
 
-impl StageEngine {
+impl FakeStageUpstream {
     async fn answer(&self, req: Request<Incoming>) -> Response<Body> {
         let expected = req.headers().get("jacinthdeal-expect-instance").cloned();
         let path = req.uri().path().to_string();
@@ -92,12 +92,12 @@
         }
         let mode = *lock(&self.engine.mode);
         match mode {
-            Some(EngineMode::Sheds | EngineMode::Fails | EngineMode::BacksOff(_)) => {
+            Some(UpstreamMode::Sheds | UpstreamMode::Fails | UpstreamMode::RequestsBackoff(_)) => {
                 let mut res = status(StatusCode::SERVICE_UNAVAILABLE);
-                set_backoff(&mut res, mode.and_then(EngineMode::backoff));
+                set_backoff(&mut res, mode.and_then(UpstreamMode::backoff));
                 return res;
             }
-            Some(EngineMode::Hangs) => futures_lite::future::pending().await,
+            Some(UpstreamMode::Hangs) => futures_lite::future::pending().await,
             _ => {}
         }
         Timer::after(CALL).await;
@@ -110,7 +110,7 @@
     }
 }
 
-impl Handler for StageEngine {
+impl Handler for FakeStageUpstream {
     fn handle(self: Arc<Self>, req: Request<Incoming>) -> HandlerFuture {
         Box::pin(async move {
             let res = self.answer(req).await;
--- a/soak/src/model.rs
+++ b/soak/src/fake_upstream.rs
@@ -25,12 +25,12 @@
 use jd_net::lock;
 use jd_net::read_bounded;
 
-use crate::EngineMode;
-use crate::Ledger;
 use crate::Notice;
-use crate::Run;
+use crate::Recorder;
+use crate::UpstreamMode;
+use crate::UpstreamRequest;
 use crate::config::TENANT;
-use crate::stages::Results;
+use crate::fake_stage_upstream::Results;
 use crate::store_api::status;
 
 /// Events of a stream.
@@ -59,18 +59,18 @@
 
 /// A stand-in of an upstream.
 #[derive(Debug)]
-pub(crate) struct Engine {
+pub(crate) struct FakeUpstream {
     pub(crate) id: Mutex<String>,
     /// When it started, in milliseconds since 1970.
     pub(crate) born: AtomicU64,
-    pub(crate) mode: Mutex<Option<EngineMode>>,
+    pub(crate) mode: Mutex<Option<UpstreamMode>>,
     /// The limit that it names, in requests a second.
     pub(crate) limit: Mutex<Option<u32>>,
     /// True once its entry says that it leaves.
     pub(crate) draining: AtomicBool,
     /// True once its answers say so.
     pub(crate) says_leaving: AtomicBool,
-    pub(crate) ledger: Arc<Ledger>,
+    pub(crate) recorder: Arc<Recorder>,
     pub(crate) results: Arc<Results>,
     /// Takes the identity of an upstream that ends with a request.
     pub(crate) ended: Sender<String>,
@@ -83,7 +83,7 @@
     torn: bool,
 }
 
-impl Engine {
+impl FakeUpstream {
     pub(crate) fn id(&self) -> String {
         lock(&self.id).clone()
     }
@@ -119,22 +119,22 @@
             () => None,
         };
         let mode = *lock(&self.mode);
-        let backoff = mode.and_then(EngineMode::backoff);
+        let backoff = mode.and_then(UpstreamMode::backoff);
         let expected = header("jacinthdeal-expect-instance").is_some_and(|e| e == me);
         let lacks_inputs = path.starts_with("/draft/") && !self.results.are_there(inputs);
         let refused = match () {
             () if !expected => Some(StatusCode::MISDIRECTED_REQUEST),
-            () if mode == Some(EngineMode::Sheds) => Some(StatusCode::SERVICE_UNAVAILABLE),
+            () if mode == Some(UpstreamMode::Sheds) => Some(StatusCode::SERVICE_UNAVAILABLE),
             () if backoff.is_some() => Some(StatusCode::SERVICE_UNAVAILABLE),
             () if lacks_inputs => Some(StatusCode::CONFLICT),
             () => None,
         };
-        self.ledger.run(Run {
+        self.recorder.run(UpstreamRequest {
             id: id.clone(),
-            engine: me.clone(),
-            at: self.ledger.now(),
-            ran: refused.is_none(),
-            bad,
+            upstream: me.clone(),
+            at: self.recorder.now(),
+            executed: refused.is_none(),
+            crash_number: bad,
             fault,
             notice: Notice {
                 leaving: self.says_leaving.load(Ordering::Relaxed),
@@ -161,7 +161,7 @@
 
     async fn work(
         &self,
-        mode: Option<EngineMode>,
+        mode: Option<UpstreamMode>,
         id: &str,
         streams: bool,
         after: u64,
@@ -169,17 +169,17 @@
     ) -> Response<Body> {
         match mode {
             _ if bad && !streams => future::pending().await,
-            Some(EngineMode::Hangs) => future::pending().await,
-            Some(EngineMode::Fails) => status(StatusCode::INTERNAL_SERVER_ERROR),
+            Some(UpstreamMode::Hangs) => future::pending().await,
+            Some(UpstreamMode::Fails) => status(StatusCode::INTERNAL_SERVER_ERROR),
             _ if streams => Response::new(jd_net::stream(unfold(
                 Rest {
                     id: id.into(),
                     next: after + 1,
-                    torn: mode == Some(EngineMode::Tears),
+                    torn: mode == Some(UpstreamMode::Truncates),
                 },
                 next_event,
             ))),
-            Some(EngineMode::Tears) => {
+            Some(UpstreamMode::Truncates) => {
                 let cut: Vec<Result<Bytes, jd_net::BodyError>> =
                     vec![Ok(Bytes::from_static(b"answ")), Err("torn".into())];
                 Response::new(jd_net::stream(futures_lite::stream::iter(cut)))
@@ -218,9 +218,14 @@
     Some((Ok(Bytes::from(text)), Rest { next, ..rest }))
 }
 
-fn signed(mut res: Response<Body>, mode: Option<EngineMode>, id: &str, me: &str) -> Response<Body> {
+fn signed(
+    mut res: Response<Body>,
+    mode: Option<UpstreamMode>,
+    id: &str,
+    me: &str,
+) -> Response<Body> {
     let named = match mode {
-        Some(EngineMode::Crosses) => "another",
+        Some(UpstreamMode::Misattributes) => "another",
         _ => id,
     };
     set(&mut res, "jacinthdeal-attempt-id", named);
@@ -243,7 +248,7 @@
     }
 }
 
-impl Handler for Engine {
+impl Handler for FakeUpstream {
     fn handle(self: Arc<Self>, req: Request<Incoming>) -> HandlerFuture {
         Box::pin(async move {
             let res = self.answer(req).await;
--- a/soak/src/fault.rs
+++ b/soak/src/fault.rs
@@ -8,35 +8,35 @@
     /// It refuses every call.
     Refuses,
     /// It accepts connections and answers nothing.
-    Silent,
+    Hangs,
     /// Each answer takes this long.
     Slow(Duration),
     /// It does every other write and does not answer.
-    LosesAnswers,
+    LosesReplies,
 }
 
 /// How an upstream misbehaves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum EngineMode {
+pub enum UpstreamMode {
     /// It is full and says that it did nothing.
     Sheds,
     /// The same, and that it wants nothing more for so many seconds.
-    BacksOff(u8),
+    RequestsBackoff(u8),
     /// It runs the request and fails.
     Fails,
     /// It runs the request and never answers.
     Hangs,
     /// It runs the request and breaks its answer off.
-    Tears,
+    Truncates,
     /// It runs the request and gives the answer to another one.
-    Crosses,
+    Misattributes,
 }
 
-impl EngineMode {
+impl UpstreamMode {
     /// How long an upstream that refuses wants nothing more.
     pub(crate) fn backoff(self) -> Option<Duration> {
         match self {
-            EngineMode::BacksOff(seconds) => Some(Duration::from_secs(seconds.into())),
+            UpstreamMode::RequestsBackoff(seconds) => Some(Duration::from_secs(seconds.into())),
             _ => None,
         }
     }
@@ -48,13 +48,13 @@
     /// Every connection is reset.
     Resets,
     /// Open connections carry nothing any more; new ones work.
-    ForgetsOpen,
+    BlackholesOpen,
     /// Nothing is carried, on any connection.
-    Cut,
+    Blackholes,
     /// Answers are not carried.
-    CutBack,
+    BlackholesReplies,
     /// Nobody listens, and nothing is carried.
-    Gone,
+    Refuses,
     /// Everything takes this much longer.
     Delays(Duration),
 }
@@ -76,11 +76,11 @@
     /// The store misbehaves for the time.
     Store(StoreMode, Duration),
     /// The store forgets its history.
-    Forget,
+    Compact,
     /// An upstream misbehaves for the time.
-    Engine(usize, EngineMode, Duration),
+    Upstream(usize, UpstreamMode, Duration),
     /// The links to an upstream misbehave for the time.
-    EngineLink(usize, LinkMode, Duration),
+    UpstreamLink(usize, LinkMode, Duration),
     /// An instance's links to the store misbehave for the time.
     StoreLink(usize, LinkMode, Duration),
     /// An upstream names a limit of so many requests a second, for the time.
@@ -92,19 +92,19 @@
     /// The store comes back from a copy that is as old as given.
     Restore(Duration),
     /// An upstream is gone, and another one has its address.
-    Replace(usize),
+    ReplaceUpstream(usize),
     /// An upstream ends and starts again under its identity, holding nothing.
-    StartAgain(usize),
+    RestartUpstream(usize),
     /// A request that ends each upstream which runs it comes again and again, for the
     /// time.
-    Bad(u64, Duration),
+    CrashingRequest(u64, Duration),
     /// The operator puts the next configuration in force.
     Configure,
     /// The operator takes a credential away.
     Revoke,
     /// The same while an instance is cut off from the store, for longer than a
     /// credential may work afterwards.
-    RevokeBehindCut(usize),
+    RevokeDuringPartition(usize),
 }
 
 impl Fault {
--- a/soak/src/judge.rs
+++ b/soak/src/judge.rs
@@ -8,15 +8,15 @@
 use jd_net::lock;
 
 use crate::Attempt;
-use crate::Ended;
 use crate::Fault;
-use crate::Kind;
-use crate::Ledger;
-use crate::Run;
-use crate::Span;
+use crate::FaultSpan;
+use crate::Outcome;
+use crate::Recorder;
+use crate::RequestKind;
+use crate::UpstreamRequest;
 use crate::bad_requests;
+use crate::fake_upstream;
 use crate::limits;
-use crate::model;
 use crate::notices;
 
 /// Within which a credential that was taken away works nowhere: the users' bound.
@@ -49,35 +49,35 @@
 
 /// A promise that was broken.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Broken {
+pub struct Violation {
     /// Which.
-    pub promise: &'static str,
+    pub guarantee: &'static str,
     /// By what, with the identity of the request if it is one.
     pub detail: String,
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.promise, self.detail)
+        write!(f, "{}: {}", self.guarantee, self.detail)
     }
 }
 
 /// What was seen, laid out for the checks.
 struct Seen<'a> {
     attempts: &'a [Attempt],
-    runs: &'a [Run],
-    spans: &'a [Span],
+    runs: &'a [UpstreamRequest],
+    spans: &'a [FaultSpan],
     /// How often each request ran.
     ran: HashMap<&'a str, usize>,
 }
 
 /// The promises that were broken; faults ended at `calm`.
-pub fn judge(ledger: &Ledger, calm: Duration) -> Vec<Broken> {
-    let attempts = lock(&ledger.attempts);
-    let runs = lock(&ledger.runs);
-    let spans = lock(&ledger.spans);
+pub fn judge(recorder: &Recorder, calm: Duration) -> Vec<Violation> {
+    let attempts = lock(&recorder.attempts);
+    let runs = lock(&recorder.upstream_requests);
+    let spans = lock(&recorder.spans);
     let mut ran: HashMap<&str, usize> = HashMap::new();
-    for run in runs.iter().filter(|r| r.ran) {
+    for run in runs.iter().filter(|r| r.executed) {
         *ran.entry(run.id.as_str()).or_default() += 1;
     }
     let seen = Seen {
@@ -108,17 +108,21 @@
     fn may_repeat(&self) -> bool {
         matches!(
             self.kind,
-            Kind::Lookup | Kind::Draft | Kind::Probe(_) | Kind::Hot | Kind::Bad(_)
+            RequestKind::Idempotent
+                | RequestKind::ResumableStream
+                | RequestKind::ConfigProbe(_)
+                | RequestKind::Hot
+                | RequestKind::Crashing(_)
         )
     }
 
     /// True if it was answered whole and with success.
     pub fn is_served(&self) -> bool {
         matches!(
-            &self.ended,
-            Ended::Answer {
+            &self.outcome,
+            Outcome::Response {
                 status: 200..300,
-                whole: true,
+                complete: true,
                 ..
             }
         )
@@ -130,27 +134,28 @@
         self.ran.get(id).copied().unwrap_or(0)
     }
 
-    fn own_whole_answers(&self, broken: &mut Vec<Broken>) {
+    fn own_whole_answers(&self, broken: &mut Vec<Violation>) {
         let judged = self.attempts.iter();
-        for a in judged.filter(|a| !matches!(a.kind, Kind::Bad(_))) {
-            let Ended::Answer {
+        for a in judged.filter(|a| !matches!(a.kind, RequestKind::Crashing(_))) {
+            let Outcome::Response {
                 status,
                 signature,
                 body,
-                whole,
-            } = &a.ended
+                complete,
+            } = &a.outcome
             else {
                 continue;
             };
             let own = signature.as_ref().is_some_and(|s| s.starts_with(&a.id));
             let expected = match a.kind {
-                Kind::Draft | Kind::Tale => {
-                    let events = (1..=model::EVENTS).map(|n| model::event(&a.id, n));
+                RequestKind::ResumableStream | RequestKind::Stream => {
+                    let events =
+                        (1..=fake_upstream::EVENTS).map(|n| fake_upstream::event(&a.id, n));
                     events.collect()
                 }
-                _ => model::plain_answer(&a.id),
+                _ => fake_upstream::plain_answer(&a.id),
             };
-            let wrong = match (*status, *whole) {
+            let wrong = match (*status, *complete) {
                 (200..300, _) if !own => Some("success that no upstream vouches for"),
                 (200..300, true) if *body != expected => Some("success with another body"),
                 (200..300, false) if !expected.starts_with(body.as_str()) => {
@@ -163,20 +168,20 @@
                 _ => None,
             };
             if let Some(wrong) = wrong {
-                broken.push(Broken {
-                    promise: "own whole answers",
+                broken.push(Violation {
+                    guarantee: "own whole answers",
                     detail: format!("{} {:?}: {wrong}: {status} {body:?}", a.id, a.kind),
                 });
             }
         }
     }
 
-    fn at_most_once(&self, broken: &mut Vec<Broken>) {
+    fn at_most_once(&self, broken: &mut Vec<Violation>) {
         for a in self.attempts {
             let most = if a.may_repeat() { usize::MAX } else { 1 };
             if self.ran(&a.id) > most {
-                broken.push(Broken {
-                    promise: "at most once",
+                broken.push(Violation {
+                    guarantee: "at most once",
                     detail: format!("{} ran {} times", a.id, self.ran(&a.id)),
                 });
             }
@@ -184,32 +189,32 @@
         let more = self.attempts.iter().filter(|a| self.ran(&a.id) > MOST_RUNS);
         let more: Vec<&str> = more.map(|a| a.id.as_str()).collect();
         if more.len() > MORE_RUNS_PASSED {
-            broken.push(Broken {
-                promise: "bounded repeats",
+            broken.push(Violation {
+                guarantee: "bounded repeats",
                 detail: format!("{more:?} ran more than {MOST_RUNS} times"),
             });
         }
     }
 
-    fn truthful_refusals(&self, broken: &mut Vec<Broken>) {
+    fn truthful_refusals(&self, broken: &mut Vec<Violation>) {
         for a in self.attempts {
             let refused = matches!(
-                a.ended,
-                Ended::Answer {
+                a.outcome,
+                Outcome::Response {
                     status: 408 | 421 | 429 | 503,
                     ..
                 }
             );
             if refused && !a.may_repeat() && self.ran(&a.id) > 0 {
-                broken.push(Broken {
-                    promise: "truthful refusals",
+                broken.push(Violation {
+                    guarantee: "truthful refusals",
                     detail: format!("{} was refused as not run, and ran", a.id),
                 });
             }
         }
     }
 
-    fn only_what_was_asked(&self, broken: &mut Vec<Broken>) {
+    fn only_what_was_asked(&self, broken: &mut Vec<Violation>) {
         let asked: HashSet<&str> = self.attempts.iter().map(|a| a.id.as_str()).collect();
         for run in self.runs {
             let fault = match run.fault {
@@ -217,25 +222,25 @@
                 fault => fault,
             };
             if let Some(fault) = fault {
-                broken.push(Broken {
-                    promise: "only what was asked",
-                    detail: format!("{} at {}: {fault}", run.id, run.engine),
+                broken.push(Violation {
+                    guarantee: "only what was asked",
+                    detail: format!("{} at {}: {fault}", run.id, run.upstream),
                 });
             }
         }
     }
 
-    fn credentials_end(&self, broken: &mut Vec<Broken>) {
-        let revoked = |s: &&Span| s.fault == Fault::Revoke && !s.what.is_empty();
+    fn credentials_end(&self, broken: &mut Vec<Violation>) {
+        let revoked = |s: &&FaultSpan| s.fault == Fault::Revoke && !s.target.is_empty();
         for span in self.spans.iter().filter(revoked) {
             let late = self
                 .attempts
                 .iter()
-                .filter(|a| !matches!(a.kind, Kind::Probe(_)))
-                .filter(|a| a.key == span.what && a.sent > span.to + REVOKED_WITHIN);
+                .filter(|a| !matches!(a.kind, RequestKind::ConfigProbe(_)))
+                .filter(|a| a.key == span.target && a.sent > span.to + REVOKED_WITHIN);
             for a in late.filter(|a| self.ran(&a.id) > 0) {
-                broken.push(Broken {
-                    promise: "credentials end",
+                broken.push(Violation {
+                    guarantee: "credentials end",
                     detail: format!(
                         "{} ran with {} sent {:?} after that was taken away",
                         a.id,
@@ -247,34 +252,34 @@
         }
     }
 
-    fn never_back(&self, broken: &mut Vec<Broken>) {
+    fn never_back(&self, broken: &mut Vec<Violation>) {
         let probes: Vec<(&Attempt, u64)> = self
             .attempts
             .iter()
             .filter(|a| a.is_served())
             .filter_map(|a| match a.kind {
-                Kind::Probe(version) => Some((a, version)),
+                RequestKind::ConfigProbe(version) => Some((a, version)),
                 _ => None,
             })
             .collect();
         for (newer, newest) in &probes {
             let back = probes.iter().find(|(older, version)| {
                 let same = older.instance == newer.instance;
-                same && version < newest && older.sent > newer.over + BACK_WITHIN
+                same && version < newest && older.sent > newer.ended + BACK_WITHIN
             });
             if let Some((older, version)) = back {
-                broken.push(Broken {
-                    promise: "never back",
+                broken.push(Violation {
+                    guarantee: "never back",
                     detail: format!(
                         "instance {:?} served version {newest} at {:?} and {version} to {}",
-                        newer.instance, newer.over, older.id
+                        newer.instance, newer.ended, older.id
                     ),
                 });
             }
         }
     }
 
-    fn drained(&self, broken: &mut Vec<Broken>) {
+    fn drained(&self, broken: &mut Vec<Violation>) {
         for span in self
             .spans
             .iter()
@@ -284,7 +289,7 @@
             let late = self
                 .runs
                 .iter()
-                .find(|r| r.ran && r.engine == span.what && r.at > due);
+                .find(|r| r.executed && r.upstream == span.target && r.at > due);
             let Some(late) = late else {
                 continue;
             };
@@ -292,17 +297,18 @@
                 !s.fault.is_planned() && s.from < late.at && s.to + CALM_BEFORE > span.from
             });
             if !disturbed {
-                broken.push(Broken {
-                    promise: "leaving upstreams rest",
-                    detail: format!("{} reached {} at {:?}", late.id, late.engine, late.at),
+                broken.push(Violation {
+                    guarantee: "leaving upstreams rest",
+                    detail: format!("{} reached {} at {:?}", late.id, late.upstream, late.at),
                 });
             }
         }
     }
 
-    fn repeats_bounded(&self, broken: &mut Vec<Broken>) {
-        let is_stream = |kind: Kind| matches!(kind, Kind::Draft | Kind::Tale);
-        let kinds: HashMap<&str, Kind> = self
+    fn repeats_bounded(&self, broken: &mut Vec<Violation>) {
+        let is_stream =
+            |kind: RequestKind| matches!(kind, RequestKind::ResumableStream | RequestKind::Stream);
+        let kinds: HashMap<&str, RequestKind> = self
             .attempts
             .iter()
             .map(|a| (a.id.as_str(), a.kind))
@@ -327,8 +333,8 @@
                 let bound = asked.count() as f64 * REPEAT_RATIO + REPEAT_SLACK;
                 let count = repeats.iter().filter(|at| within(at)).count();
                 if count as f64 > bound {
-                    broken.push(Broken {
-                        promise: "bounded repeats",
+                    broken.push(Violation {
+                        guarantee: "bounded repeats",
                         detail: format!("{count} repeats until {end:?}, more than {bound}"),
                     });
                     break;
@@ -340,61 +346,64 @@
     /// Where all faults were planned work no request that was passed on may be
     /// cut. One that crosses the close of its connection was not passed on, and
     /// one that has used most of its time may have been ended by that.
-    fn planned_work_cuts_nothing(&self, broken: &mut Vec<Broken>) {
+    fn planned_work_cuts_nothing(&self, broken: &mut Vec<Violation>) {
         if !self.spans.iter().all(|s| s.fault.is_planned()) {
             return;
         }
-        let used_up = |a: &&Attempt| a.over.saturating_sub(a.sent) >= USED_UP;
+        let used_up = |a: &&Attempt| a.ended.saturating_sub(a.sent) >= USED_UP;
         for a in self.attempts.iter().filter(|a| !used_up(a)) {
-            let cut = match a.ended {
-                Ended::Answer { whole, .. } => !whole,
-                Ended::Broken | Ended::Silent => self.ran(&a.id) > 0,
-                Ended::NotSent => false,
+            let cut = match a.outcome {
+                Outcome::Response { complete, .. } => !complete,
+                Outcome::ConnectionLost | Outcome::TimedOut => self.ran(&a.id) > 0,
+                Outcome::NotSent => false,
             };
             if cut {
-                broken.push(Broken {
-                    promise: "planned work cuts nothing",
-                    detail: format!("{} {:?} at {:?}: {:?}", a.id, a.kind, a.sent, a.ended),
+                broken.push(Violation {
+                    guarantee: "planned work cuts nothing",
+                    detail: format!("{} {:?} at {:?}: {:?}", a.id, a.kind, a.sent, a.outcome),
                 });
             }
         }
     }
 
     /// Once the faults are over every instance serves by the newest version.
-    fn newest_in_force(&self, calm: Duration, broken: &mut Vec<Broken>) {
+    fn newest_in_force(&self, calm: Duration, broken: &mut Vec<Violation>) {
         let version = |a: &Attempt| match a.kind {
-            Kind::Probe(version) => Some(version),
+            RequestKind::ConfigProbe(version) => Some(version),
             _ => None,
         };
         let newest = self.attempts.iter().filter_map(version).max();
         let probes = self.attempts.iter().filter(|a| version(a) == newest);
         let late = probes.filter(|a| a.sent > calm + RECOVERED_AFTER);
-        let unknown = |a: &&Attempt| matches!(a.ended, Ended::Answer { status: 404, .. });
+        let unknown = |a: &&Attempt| matches!(a.outcome, Outcome::Response { status: 404, .. });
         for a in late.filter(|a| newest.is_some() && unknown(a)) {
-            broken.push(Broken {
-                promise: "changes are in force",
+            broken.push(Violation {
+                guarantee: "changes are in force",
                 detail: format!("{} asked {:?} for {newest:?}", a.id, a.instance),
             });
         }
     }
 
-    fn recovered(&self, calm: Duration, broken: &mut Vec<Broken>) {
+    fn recovered(&self, calm: Duration, broken: &mut Vec<Violation>) {
         let counted = |a: &&Attempt| {
             a.sent > calm + RECOVERED_AFTER
                 && a.key == crate::config::KEYS[0]
-                && !matches!(a.kind, Kind::Probe(_) | Kind::Bad(_))
+                && !matches!(
+                    a.kind,
+                    RequestKind::ConfigProbe(_) | RequestKind::Crashing(_)
+                )
         };
         let after: Vec<&Attempt> = self.attempts.iter().filter(counted).collect();
         let served = after.iter().filter(|a| a.is_served()).count();
         if after.len() >= RECOVERY_SAMPLE && served * 4 < after.len() {
-            broken.push(Broken {
-                promise: "recovery",
+            broken.push(Violation {
+                guarantee: "recovery",
                 detail: format!("{served} of {} were served after the faults", after.len()),
             });
         }
         if !self.attempts.iter().any(Attempt::is_served) {
-            broken.push(Broken {
-                promise: "recovery",
+            broken.push(Violation {
+                guarantee: "recovery",
                 detail: "nothing was served at all".into(),
             });
         }
--- a/soak/src/limits.rs
+++ b/soak/src/limits.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use crate::Broken;
 use crate::Fault;
-use crate::Run;
-use crate::Span;
+use crate::FaultSpan;
+use crate::UpstreamRequest;
+use crate::Violation;
 
 /// Within which all instances know of a limit: the users' bound for news.
 const KNOWN_WITHIN: Duration = Duration::from_millis(3_000);
@@ -16,7 +16,7 @@
 const SLACK: f64 = 5.0;
 
 /// The promises on limits of upstreams that were broken.
-pub(crate) fn judge(runs: &[Run], spans: &[Span]) -> Vec<Broken> {
+pub(crate) fn judge(runs: &[UpstreamRequest], spans: &[FaultSpan]) -> Vec<Violation> {
     let limited = spans.iter().filter_map(|s| match s.fault {
         Fault::Limit(_, per_s, _) => Some((s, f64::from(per_s))),
         _ => None,
@@ -25,7 +25,7 @@
     for (span, per_s) in limited {
         let known = span.from + KNOWN_WITHIN;
         let is_known = |at: Duration| at > known && at < span.to && !all_are_new(at, spans);
-        let counted = |r: &&Run| r.engine == span.what && is_known(r.at);
+        let counted = |r: &&UpstreamRequest| r.upstream == span.target && is_known(r.at);
         let at: Vec<Duration> = runs.iter().filter(counted).map(|r| r.at).collect();
         let within = at.iter().map(|end| {
             let from = end.saturating_sub(COUNTED_OVER);
@@ -33,9 +33,9 @@
         });
         let most = within.max().unwrap_or(0);
         if most as f64 > per_s * COUNTED_OVER.as_secs_f64() * OVERRUN + SLACK {
-            broken.push(Broken {
-                promise: "limits of upstreams are kept",
-                detail: format!("{} named {per_s} a second and got {most}", span.what),
+            broken.push(Violation {
+                guarantee: "limits of upstreams are kept",
+                detail: format!("{} named {per_s} a second and got {most}", span.target),
             });
         }
     }
@@ -44,7 +44,7 @@
 
 /// True if all instances have started anew shortly before, so that none has been told of
 /// anything yet: no upstream has told those, and they cannot tell each other.
-fn all_are_new(at: Duration, spans: &[Span]) -> bool {
+fn all_are_new(at: Duration, spans: &[FaultSpan]) -> bool {
     let killed = spans
         .iter()
         .filter(|s| matches!(s.fault, Fault::KillAll(_)));
--- a/soak/src/notices.rs
+++ b/soak/src/notices.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 
 use crate::Attempt;
-use crate::Broken;
 use crate::Fault;
-use crate::Run;
-use crate::Span;
+use crate::FaultSpan;
+use crate::UpstreamRequest;
+use crate::Violation;
 
 /// How much later nothing new may reach an upstream that has said so: the users' bound.
 const DRAINED_WITHIN: Duration = Duration::from_millis(2_000);
@@ -18,12 +18,16 @@
 
 /// A request that reached an upstream, and who had sent it there.
 struct Arrival<'a> {
-    run: &'a Run,
+    run: &'a UpstreamRequest,
     attempt: &'a Attempt,
 }
 
 /// The promises on notices of upstreams that were broken.
-pub(crate) fn judge(attempts: &[Attempt], runs: &[Run], spans: &[Span]) -> Vec<Broken> {
+pub(crate) fn judge(
+    attempts: &[Attempt],
+    runs: &[UpstreamRequest],
+    spans: &[FaultSpan],
+) -> Vec<Violation> {
     let by_id: HashMap<&str, &Attempt> = attempts.iter().map(|a| (a.id.as_str(), a)).collect();
     let arrivals = runs.iter().filter_map(|run| {
         let attempt = *by_id.get(run.id.as_str())?;
@@ -39,18 +43,18 @@
         if told.run.notice.leaving
             && let Some(late) = after.clone().find(|a| a.attempt.sent > due)
         {
-            broken.push(Broken {
-                promise: "upstreams that say they leave rest",
-                detail: format!("{} reached {}", late.run.id, late.run.engine),
+            broken.push(Violation {
+                guarantee: "upstreams that say they leave rest",
+                detail: format!("{} reached {}", late.run.id, late.run.upstream),
             });
         }
         if let Some(wait) = told.run.notice.backoff {
             let (from, to) = (told.run.at + ON_ITS_WAY, told.run.at + wait);
             let count = after.filter(|a| a.run.at > from && a.run.at < to).count();
             if count > PASSED {
-                broken.push(Broken {
-                    promise: "upstreams that want rest have it",
-                    detail: format!("{} wanted {wait:?} and got {count}", told.run.engine),
+                broken.push(Violation {
+                    guarantee: "upstreams that want rest have it",
+                    detail: format!("{} wanted {wait:?} and got {count}", told.run.upstream),
                 });
             }
         }
@@ -60,12 +64,12 @@
 
 /// True if the same start of an instance sent both to the same upstream.
 fn is_same_way(told: &Arrival, other: &Arrival) -> bool {
-    let same_upstream = told.run.engine == other.run.engine;
+    let same_upstream = told.run.upstream == other.run.upstream;
     same_upstream && told.attempt.instance == other.attempt.instance
 }
 
 /// True if an instance may have stood still in between, which excuses it.
-fn stood_still(from: Duration, to: Duration, spans: &[Span]) -> bool {
+fn stood_still(from: Duration, to: Duration, spans: &[FaultSpan]) -> bool {
     let mut pauses = spans.iter().filter(|s| matches!(s.fault, Fault::Pause(..)));
     pauses.any(|s| s.from < to && s.to > from)
 }
--- a/soak/src/plan.rs
+++ b/soak/src/plan.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use crate::EngineMode;
 use crate::Fault;
 use crate::LinkMode;
 use crate::StoreMode;
+use crate::UpstreamMode;
 
 /// From the first fault to the last. Several overlap in it.
 const FAULTS_LAST: Duration = Duration::from_millis(7_000);
@@ -82,7 +82,7 @@
                 let after = rng.u64(0..FAULTS_LAST.as_millis() as u64);
                 steps.push(Step {
                     at: LEAD + Duration::from_millis(after),
-                    fault: Fault::StartAgain(rng.usize(..)),
+                    fault: Fault::RestartUpstream(rng.usize(..)),
                 });
             }
         }
@@ -91,7 +91,7 @@
                 let after = rng.u64(0..FAULTS_LAST.as_millis() as u64 / 2);
                 steps.push(Step {
                     at: LEAD + Duration::from_millis(after),
-                    fault: Fault::Bad(number * 4 + rng.u64(..4), BAD_LASTS),
+                    fault: Fault::CrashingRequest(number * 4 + rng.u64(..4), BAD_LASTS),
                 });
             }
         }
@@ -117,7 +117,7 @@
     }
 
     /// When the last of them has passed, stops and restarts included.
-    pub fn ends(&self) -> Duration {
+    pub fn end(&self) -> Duration {
         LEAD + FAULTS_LAST
     }
 }
@@ -126,9 +126,9 @@
     let mut faults = vec![Fault::DrainByAnswers(rng.usize(..))];
     if !planned_only {
         for _ in 0..rng.usize(1..=3) {
-            let mode = EngineMode::BacksOff(rng.u8(1..=3));
+            let mode = UpstreamMode::RequestsBackoff(rng.u8(1..=3));
             let span = Duration::from_millis(rng.u64(300..3_000));
-            faults.push(Fault::Engine(rng.usize(..), mode, span));
+            faults.push(Fault::Upstream(rng.usize(..), mode, span));
         }
         for _ in 0..rng.usize(1..=2) {
             let age = Duration::from_millis(rng.u64(1_000..4_000));
@@ -152,14 +152,14 @@
         4 => Fault::Pause(place, span),
         5 => Fault::Reload(place),
         6 | 7 => Fault::Store(draw_store_mode(rng), span),
-        8 => Fault::Forget,
-        9..=12 => Fault::Engine(place, draw_engine_mode(rng), span),
-        13 | 14 => Fault::EngineLink(place, draw_link_mode(rng), span),
+        8 => Fault::Compact,
+        9..=12 => Fault::Upstream(place, draw_engine_mode(rng), span),
+        13 | 14 => Fault::UpstreamLink(place, draw_link_mode(rng), span),
         15 => Fault::StoreLink(place, draw_link_mode(rng), span),
         16 => Fault::Drain(place),
-        17 => Fault::Replace(place),
+        17 => Fault::ReplaceUpstream(place),
         18 if rng.bool() => Fault::Revoke,
-        18 => Fault::RevokeBehindCut(place),
+        18 => Fault::RevokeDuringPartition(place),
         _ => Fault::Configure,
     }
 }
@@ -167,28 +167,28 @@
 fn draw_store_mode(rng: &mut fastrand::Rng) -> StoreMode {
     match rng.u8(0..4) {
         0 => StoreMode::Refuses,
-        1 => StoreMode::Silent,
+        1 => StoreMode::Hangs,
         2 => StoreMode::Slow(Duration::from_millis(rng.u64(50..400))),
-        _ => StoreMode::LosesAnswers,
+        _ => StoreMode::LosesReplies,
     }
 }
 
-fn draw_engine_mode(rng: &mut fastrand::Rng) -> EngineMode {
+fn draw_engine_mode(rng: &mut fastrand::Rng) -> UpstreamMode {
     match rng.u8(0..6) {
-        0 => EngineMode::Sheds,
-        1 => EngineMode::Fails,
-        2 => EngineMode::Hangs,
-        3 => EngineMode::Tears,
-        _ => EngineMode::Crosses,
+        0 => UpstreamMode::Sheds,
+        1 => UpstreamMode::Fails,
+        2 => UpstreamMode::Hangs,
+        3 => UpstreamMode::Truncates,
+        _ => UpstreamMode::Misattributes,
     }
 }
 
 fn draw_link_mode(rng: &mut fastrand::Rng) -> LinkMode {
     match rng.u8(0..5) {
         0 => LinkMode::Resets,
-        1 => LinkMode::ForgetsOpen,
-        2 => LinkMode::Cut,
-        3 => LinkMode::CutBack,
+        1 => LinkMode::BlackholesOpen,
+        2 => LinkMode::Blackholes,
+        3 => LinkMode::BlackholesReplies,
         _ => LinkMode::Delays(Duration::from_millis(rng.u64(20..300))),
     }
 }
--- a/soak/src/ledger.rs
+++ b/soak/src/recorder.rs
@@ -10,29 +10,29 @@
 
 /// What may be done with a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Kind {
+pub enum RequestKind {
     /// It may run more than once.
-    Lookup,
+    Idempotent,
     /// It may run once at most.
-    Booking,
+    NonIdempotent,
     /// Its answer is a stream that may go on elsewhere, after a stage.
-    Draft,
+    ResumableStream,
     /// Its answer is a stream that may not.
-    Tale,
+    Stream,
     /// The same at each attempt, and it may run more than once.
     Hot,
     /// The same at each attempt, and it ends each upstream that runs it. In which way it
     /// is sent goes by its number.
-    Bad(u64),
+    Crashing(u64),
     /// It only shows which configuration is in force.
-    Probe(u64),
+    ConfigProbe(u64),
 }
 
 /// How a caller's attempt ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Ended {
+pub enum Outcome {
     /// With an answer.
-    Answer {
+    Response {
         /// Its status.
         status: u16,
         /// What the upstream vouches with, if it does.
@@ -40,14 +40,14 @@
         /// As far as it came.
         body: String,
         /// False if the connection broke before the end.
-        whole: bool,
+        complete: bool,
     },
     /// The connection broke without an answer.
-    Broken,
+    ConnectionLost,
     /// No connection could be had.
     NotSent,
     /// Nothing came in time.
-    Silent,
+    TimedOut,
 }
 
 /// One attempt of a caller.
@@ -56,7 +56,7 @@
     /// Its identity.
     pub id: String,
     /// What may be done with it.
-    pub kind: Kind,
+    pub kind: RequestKind,
     /// The credential that it showed.
     pub key: &'static str,
     /// The instance that took it, and which start of it.
@@ -64,24 +64,24 @@
     /// When it was sent.
     pub sent: Duration,
     /// When it ended.
-    pub over: Duration,
+    pub ended: Duration,
     /// How.
-    pub ended: Ended,
+    pub outcome: Outcome,
 }
 
 /// A request that reached an upstream.
 #[derive(Debug, Clone)]
-pub struct Run {
+pub struct UpstreamRequest {
     /// The identity of the attempt.
     pub id: String,
     /// The upstream's identity.
-    pub engine: String,
+    pub upstream: String,
     /// When.
     pub at: Duration,
     /// True if the upstream began to work on it.
-    pub ran: bool,
+    pub executed: bool,
     /// The number of the bad request that it is, if it is one.
-    pub bad: Option<u64>,
+    pub crash_number: Option<u64>,
     /// What was wrong with it as it came, if anything.
     pub fault: Option<&'static str>,
     /// What the answer said of what may be sent next.
@@ -99,7 +99,7 @@
 
 /// A fault and how long it lasted.
 #[derive(Debug, Clone)]
-pub struct Span {
+pub struct FaultSpan {
     /// What was done.
     pub fault: Fault,
     /// Since when.
@@ -107,53 +107,53 @@
     /// Until when.
     pub to: Duration,
     /// What it concerns: the upstream, the credential, or the version.
-    pub what: String,
+    pub target: String,
 }
 
 /// What callers and upstreams saw, and what was done to the system.
 #[derive(Debug)]
-pub struct Ledger {
-    began: Instant,
+pub struct Recorder {
+    started: Instant,
     /// Attempts of callers, in the order in which they ended.
     pub attempts: Mutex<Vec<Attempt>>,
     /// What reached upstreams, in order.
-    pub runs: Mutex<Vec<Run>>,
+    pub upstream_requests: Mutex<Vec<UpstreamRequest>>,
     /// What was done.
-    pub spans: Mutex<Vec<Span>>,
+    pub spans: Mutex<Vec<FaultSpan>>,
 }
 
-impl Default for Ledger {
-    fn default() -> Ledger {
-        Ledger {
-            began: Instant::now(),
+impl Default for Recorder {
+    fn default() -> Recorder {
+        Recorder {
+            started: Instant::now(),
             attempts: Mutex::default(),
-            runs: Mutex::default(),
+            upstream_requests: Mutex::default(),
             spans: Mutex::default(),
         }
     }
 }
 
-impl Ledger {
+impl Recorder {
     /// The time since the soak began.
     pub fn now(&self) -> Duration {
-        self.began.elapsed()
+        self.started.elapsed()
     }
 
     pub(crate) fn attempt(&self, attempt: Attempt) {
         lock(&self.attempts).push(attempt);
     }
 
-    pub(crate) fn run(&self, run: Run) {
-        lock(&self.runs).push(run);
+    pub(crate) fn run(&self, run: UpstreamRequest) {
+        lock(&self.upstream_requests).push(run);
     }
 
-    pub(crate) fn span(&self, fault: Fault, from: Duration, to: Duration, what: &str) {
-        let what = what.into();
-        lock(&self.spans).push(Span {
+    pub(crate) fn span(&self, fault: Fault, from: Duration, to: Duration, target: &str) {
+        let target = target.into();
+        lock(&self.spans).push(FaultSpan {
             fault,
             from,
             to,
-            what,
+            target,
         });
     }
 }
--- a/soak/src/relay.rs
+++ b/soak/src/relay.rs
@@ -69,7 +69,7 @@
     /// Misbehaves from now on, or does not.
     pub(crate) fn set(&self, mode: Option<LinkMode>) {
         let mut doing = lock(&self.doing);
-        if mode == Some(LinkMode::ForgetsOpen) {
+        if mode == Some(LinkMode::BlackholesOpen) {
             doing.forgotten = doing.opened + 1;
         }
         doing.mode = mode;
@@ -84,7 +84,7 @@
         while let Some(open) = listener.take() {
             let accepted = async { Some(open.accept().await) };
             let gone = async {
-                self.until_set(LinkMode::Gone).await;
+                self.until_set(LinkMode::Refuses).await;
                 None
             };
             match future::or(accepted, gone).await {
@@ -108,7 +108,7 @@
     async fn listen_again(&self) -> Option<Async<TcpListener>> {
         loop {
             Timer::after(LOOK_AGAIN).await;
-            if lock(&self.doing).mode != Some(LinkMode::Gone) {
+            if lock(&self.doing).mode != Some(LinkMode::Refuses) {
                 return Async::<TcpListener>::bind(self.address).ok();
             }
         }
@@ -134,7 +134,7 @@
         };
         let over = future::or(
             self.until_set(LinkMode::Resets),
-            self.until_set(LinkMode::Gone),
+            self.until_set(LinkMode::Refuses),
         );
         future::or(both, over).await;
         // Either may be closed already.
@@ -161,8 +161,8 @@
             let doing = *lock(&self.doing);
             match doing.mode {
                 _ if number < doing.forgotten => {}
-                Some(LinkMode::Cut) => {}
-                Some(LinkMode::CutBack) if way == Way::Back => {}
+                Some(LinkMode::Blackholes) => {}
+                Some(LinkMode::BlackholesReplies) if way == Way::Back => {}
                 Some(LinkMode::Delays(by)) => {
                     Timer::after(by).await;
                     return;
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -15,19 +15,19 @@
 use jd_net::HttpPool;
 use jd_net::lock;
 
-use crate::Broken;
 use crate::Fault;
 use crate::Fleet;
-use crate::Kind;
-use crate::Ledger;
 use crate::LinkMode;
 use crate::Plan;
 use crate::ProcessSignal;
+use crate::Recorder;
+use crate::RequestKind;
 use crate::Step;
+use crate::Violation;
 use crate::caller::Caller;
+use crate::environment::Environment;
 use crate::judge::judge;
 use crate::relay::Relay;
-use crate::world::World;
 
 /// Callers for each instance.
 const CALLERS_EACH: usize = 4;
@@ -50,11 +50,11 @@
 
 /// What came of a soak.
 #[derive(Debug)]
-pub struct Played {
+pub struct SoakReport {
     /// What everybody saw.
-    pub ledger: Arc<Ledger>,
+    pub recorder: Arc<Recorder>,
     /// The promises that were broken.
-    pub broken: Vec<Broken>,
+    pub violations: Vec<Violation>,
     /// By how much the stand-ins and the callers were late at most, because the
     /// machine was busy.
     pub lag: Duration,
@@ -63,7 +63,7 @@
 /// What steps need.
 struct Stage {
     executor: Arc<Executor<'static>>,
-    world: Arc<World>,
+    environment: Arc<Environment>,
     fleet: Arc<dyn Fleet>,
     pool: HttpPool,
     starts: Arc<Vec<AtomicU32>>,
@@ -79,19 +79,19 @@
     fleet: Arc<dyn Fleet>,
     network: [u8; 3],
     instances: usize,
-) -> io::Result<Played> {
-    let world = Arc::new(World::start(executor, network, instances)?);
+) -> io::Result<SoakReport> {
+    let environment = Arc::new(Environment::start(executor, network, instances)?);
     // The last one is the store.
-    let held = instances + world.places.len() + 1;
+    let held = instances + environment.places.len() + 1;
     let stage = Arc::new(Stage {
         executor: Arc::clone(executor),
         pool: HttpPool::new(Arc::clone(executor), Clock::start()),
         starts: Arc::new((0..instances).map(|_| AtomicU32::new(0)).collect()),
         held: (0..held).map(|_| AtomicBool::new(false)).collect(),
-        world: Arc::clone(&world),
+        environment: Arc::clone(&environment),
         fleet,
     });
-    let ending = Arc::clone(&world).end_by_requests(Arc::clone(executor));
+    let ending = Arc::clone(&environment).end_by_requests(Arc::clone(executor));
     executor.spawn(ending).detach();
     for n in 0..instances {
         stage.start(n);
@@ -100,43 +100,43 @@
         stage.until_ready(n).await?;
     }
     let stopped = Arc::new(AtomicBool::new(false));
-    let lag = executor.spawn(measure_lag(Arc::clone(&world), Arc::clone(&stopped)));
+    let lag = executor.spawn(measure_lag(Arc::clone(&environment), Arc::clone(&stopped)));
     let callers = start_callers(executor, &stage, &stopped, plan.seed, plan.has_hot());
-    let began = world.ledger.now();
+    let began = environment.recorder.now();
     let mut steps: Vec<Task<io::Result<()>>> = Vec::new();
     for step in &plan.steps {
-        Timer::after((began + step.at).saturating_sub(world.ledger.now())).await;
+        Timer::after((began + step.at).saturating_sub(environment.recorder.now())).await;
         let (stage, step) = (Arc::clone(&stage), *step);
         steps.push(executor.spawn(async move { stage.play(step).await }));
     }
-    Timer::after((began + plan.ends()).saturating_sub(world.ledger.now())).await;
+    Timer::after((began + plan.end()).saturating_sub(environment.recorder.now())).await;
     for step in steps {
         step.await?;
     }
-    let calm = world.ledger.now();
+    let calm = environment.recorder.now();
     Timer::after(CALM).await;
     stopped.store(true, Ordering::Relaxed);
     for caller in callers {
         caller.await;
     }
     stage.end(instances).await?;
-    let broken = judge(&world.ledger, calm);
-    let ledger = Arc::clone(&world.ledger);
+    let violations = judge(&environment.recorder, calm);
+    let recorder = Arc::clone(&environment.recorder);
     let lag = lag.await;
-    Ok(Played {
-        ledger,
-        broken,
+    Ok(SoakReport {
+        recorder,
+        violations,
         lag,
     })
 }
 
 /// By how much a timer of this program was late at most.
-async fn measure_lag(world: Arc<World>, stopped: Arc<AtomicBool>) -> Duration {
+async fn measure_lag(environment: Arc<Environment>, stopped: Arc<AtomicBool>) -> Duration {
     let mut most = Duration::ZERO;
     while !stopped.load(Ordering::Relaxed) {
-        let began = world.ledger.now();
+        let began = environment.recorder.now();
         Timer::after(BEAT).await;
-        let took = world.ledger.now().saturating_sub(began);
+        let took = environment.recorder.now().saturating_sub(began);
         most = most.max(took.saturating_sub(BEAT));
     }
     most
@@ -152,7 +152,7 @@
     let count = stage.starts.len() * CALLERS_EACH;
     let callers = (0..count as u64).map(|n| {
         let caller = Caller {
-            world: Arc::clone(&stage.world),
+            environment: Arc::clone(&stage.environment),
             // Each has connections of its own, as callers elsewhere do.
             pool: HttpPool::new(Arc::clone(executor), Clock::start()),
             starts: Arc::clone(&stage.starts),
@@ -168,17 +168,17 @@
 impl Stage {
     fn start(&self, n: usize) {
         self.starts[n].fetch_add(1, Ordering::Relaxed);
-        self.fleet.start(n, &self.world.settings(n));
+        self.fleet.start(n, &self.environment.settings(n));
     }
 
     async fn until_ready(&self, n: usize) -> io::Result<()> {
-        let until = self.world.ledger.now() + PATIENCE;
-        while self.world.ledger.now() < until {
+        let until = self.environment.recorder.now() + PATIENCE;
+        while self.environment.recorder.now() < until {
             let mut req = Request::new(jd_net::empty());
             *req.uri_mut() = http::Uri::from_static("/v1/readyz");
             req.headers_mut()
                 .insert("host", http::HeaderValue::from_static("ready"));
-            let address = self.world.ready_at(n);
+            let address = self.environment.ready_at(n);
             let sent = self.pool.send(address, req, Duration::from_secs(1), true);
             if matches!(sent.await, Some(Ok(res)) if res.status.is_success()) {
                 return Ok(());
@@ -191,9 +191,9 @@
     }
 
     async fn until_ended(&self, n: usize) -> io::Result<()> {
-        let until = self.world.ledger.now() + PATIENCE;
+        let until = self.environment.recorder.now() + PATIENCE;
         while self.fleet.is_running(n) {
-            if self.world.ledger.now() > until {
+            if self.environment.recorder.now() > until {
                 return Err(io::Error::other(format!("instance {n} does not end")));
             }
             Timer::after(LOOK).await;
@@ -215,13 +215,13 @@
     /// Plays one step and writes down how long it lasted.
     async fn play(&self, step: Step) -> io::Result<()> {
         let instances = self.starts.len();
-        let places = self.world.places.len();
+        let places = self.environment.places.len();
         let held = match step.fault {
             Fault::Kill(n, _) | Fault::Stop(n) | Fault::Pause(n, _) => Some(n % instances),
             Fault::Drain(n)
             | Fault::DrainByAnswers(n)
-            | Fault::Replace(n)
-            | Fault::StartAgain(n)
+            | Fault::ReplaceUpstream(n)
+            | Fault::RestartUpstream(n)
             | Fault::Limit(n, _, _) => Some(instances + n % places),
             Fault::Restore(_) => Some(instances + places),
             _ => None,
@@ -229,15 +229,17 @@
         if held.is_some_and(|h| self.held[h].swap(true, Ordering::Relaxed)) {
             return Ok(());
         }
-        let from = self.world.ledger.now();
+        let from = self.environment.recorder.now();
         let what = self.what(step.fault);
         if let Fault::Drain(_) | Fault::Configure = step.fault {
             // Its effect begins now and not when the step has passed.
-            self.world.ledger.span(step.fault, from, from, &what);
+            self.environment
+                .recorder
+                .span(step.fault, from, from, &what);
         }
         let what = self.carry_out(step.fault).await?.unwrap_or(what);
-        let to = self.world.ledger.now();
-        self.world.ledger.span(step.fault, from, to, &what);
+        let to = self.environment.recorder.now();
+        self.environment.recorder.span(step.fault, from, to, &what);
         if let Some(h) = held {
             self.held[h].store(false, Ordering::Relaxed);
         }
@@ -246,13 +248,13 @@
 
     /// What a fault concerns.
     fn what(&self, fault: Fault) -> String {
-        let places = &self.world.places;
+        let places = &self.environment.places;
         match fault {
             Fault::Drain(n)
             | Fault::DrainByAnswers(n)
-            | Fault::Replace(n)
-            | Fault::StartAgain(n)
-            | Fault::Engine(n, _, _)
+            | Fault::ReplaceUpstream(n)
+            | Fault::RestartUpstream(n)
+            | Fault::Upstream(n, _, _)
             | Fault::Limit(n, _, _) => places[n % places.len()].handler.engine().id(),
             _ => String::new(),
         }
@@ -282,7 +284,7 @@
 
     async fn carry_out(&self, fault: Fault) -> io::Result<Option<String>> {
         let instances = self.starts.len();
-        let places = &self.world.places;
+        let places = &self.environment.places;
         let place = |n: usize| &places[n % places.len()];
         match fault {
             Fault::Kill(n, down) => {
@@ -309,12 +311,12 @@
             }
             Fault::Reload(n) => self.fleet.signal(n % instances, ProcessSignal::Reload),
             Fault::Store(mode, span) => {
-                *lock(&self.world.store.mode) = Some(mode);
+                *lock(&self.environment.store.mode) = Some(mode);
                 Timer::after(span).await;
-                *lock(&self.world.store.mode) = None;
+                *lock(&self.environment.store.mode) = None;
             }
-            Fault::Forget => lock(&self.world.store.records).forget(),
-            Fault::Engine(n, mode, span) => {
+            Fault::Compact => lock(&self.environment.store.records).forget(),
+            Fault::Upstream(n, mode, span) => {
                 let engine = place(n).handler.engine();
                 *lock(&engine.mode) = Some(mode);
                 Timer::after(span).await;
@@ -326,39 +328,41 @@
                 Timer::after(span).await;
                 *lock(&engine.limit) = None;
             }
-            Fault::EngineLink(n, mode, span) => misbehave(&place(n).link, mode, span).await,
+            Fault::UpstreamLink(n, mode, span) => misbehave(&place(n).link, mode, span).await,
             Fault::StoreLink(n, mode, span) => {
-                misbehave(&self.world.store_links[n % instances], mode, span).await;
+                misbehave(&self.environment.store_links[n % instances], mode, span).await;
             }
             Fault::Drain(n) => {
                 let engine = place(n).handler.engine();
                 engine.draining.store(true, Ordering::Relaxed);
-                self.world.register(place(n));
+                self.environment.register(place(n));
                 Timer::after(DRAIN_LASTS).await;
-                self.world.replace(place(n));
+                self.environment.replace(place(n));
             }
             Fault::DrainByAnswers(n) => {
                 let engine = place(n).handler.engine();
                 engine.says_leaving.store(true, Ordering::Relaxed);
                 Timer::after(DRAIN_LASTS).await;
-                self.world.replace(place(n));
+                self.environment.replace(place(n));
             }
             Fault::Restore(age) => {
-                let copy = lock(&self.world.store.records).clone();
+                let copy = lock(&self.environment.store.records).clone();
                 Timer::after(age).await;
-                self.world.restore(copy).await;
+                self.environment.restore(copy).await;
             }
-            Fault::Replace(n) => self.world.replace(place(n)),
-            Fault::StartAgain(n) => self.world.start_again(place(n)).await,
-            Fault::Bad(number, span) => self.repeat_bad(number, span).await,
-            Fault::Configure => return Ok(Some(self.world.configure().to_string())),
-            Fault::Revoke => return Ok(Some(self.world.revoke().unwrap_or("").into())),
-            Fault::RevokeBehindCut(n) => {
-                let link = &self.world.store_links[n % instances];
-                link.set(Some(LinkMode::Cut));
-                let from = self.world.ledger.now();
-                let key = self.world.revoke().unwrap_or("");
-                self.world.ledger.span(Fault::Revoke, from, from, key);
+            Fault::ReplaceUpstream(n) => self.environment.replace(place(n)),
+            Fault::RestartUpstream(n) => self.environment.start_again(place(n)).await,
+            Fault::CrashingRequest(number, span) => self.repeat_bad(number, span).await,
+            Fault::Configure => return Ok(Some(self.environment.configure().to_string())),
+            Fault::Revoke => return Ok(Some(self.environment.revoke().unwrap_or("").into())),
+            Fault::RevokeDuringPartition(n) => {
+                let link = &self.environment.store_links[n % instances];
+                link.set(Some(LinkMode::Blackholes));
+                let from = self.environment.recorder.now();
+                let key = self.environment.revoke().unwrap_or("");
+                self.environment
+                    .recorder
+                    .span(Fault::Revoke, from, from, key);
                 Timer::after(CUT_BEHIND).await;
                 link.set(None);
             }
@@ -370,12 +374,12 @@
 impl Stage {
     /// Sends a bad request again and again, to any instance, waiting for no answer.
     async fn repeat_bad(&self, number: u64, span: Duration) {
-        let until = self.world.ledger.now() + span;
+        let until = self.environment.recorder.now() + span;
         let mut rng = fastrand::Rng::with_seed(number);
         let mut asked = Vec::new();
-        while self.world.ledger.now() < until {
+        while self.environment.recorder.now() < until {
             let mut caller = Caller {
-                world: Arc::clone(&self.world),
+                environment: Arc::clone(&self.environment),
                 pool: self.pool.clone(),
                 starts: Arc::clone(&self.starts),
                 stopped: Arc::default(),
@@ -385,7 +389,7 @@
             let instance = rng.usize(..self.starts.len());
             let sending = async move {
                 // It is told when to come back, and does not heed it.
-                let _ = caller.send(instance, Kind::Bad(number)).await;
+                let _ = caller.send(instance, RequestKind::Crashing(number)).await;
             };
             asked.push(self.executor.spawn(sending));
             Timer::after(BAD_EVERY).await;
@@ -398,7 +402,7 @@
 
 async fn misbehave(link: &Relay, mode: LinkMode, span: Duration) {
     link.set(Some(mode));
-    if mode != LinkMode::ForgetsOpen {
+    if mode != LinkMode::BlackholesOpen {
         Timer::after(span).await;
     }
     link.set(None);
--- a/soak/src/store_api.rs
+++ b/soak/src/store_api.rs
@@ -79,11 +79,11 @@
         let mode = *lock(&self.mode);
         match mode {
             Some(StoreMode::Refuses) => return status(StatusCode::SERVICE_UNAVAILABLE),
-            Some(StoreMode::Silent) => future::pending().await,
+            Some(StoreMode::Hangs) => future::pending().await,
             Some(StoreMode::Slow(by)) => {
                 Timer::after(by).await;
             }
-            Some(StoreMode::LosesAnswers) | None => {}
+            Some(StoreMode::LosesReplies) | None => {}
         }
         let (parts, body) = req.into_parts();
         let query = query(parts.uri.query().unwrap_or(""));
@@ -101,7 +101,7 @@
                 None => (status(StatusCode::NOT_FOUND), false),
             },
         };
-        if wrote && mode == Some(StoreMode::LosesAnswers) {
+        if wrote && mode == Some(StoreMode::LosesReplies) {
             let lost = {
                 let mut writes = lock(&self.writes);
                 *writes += 1;
