--- a/soak/src/caller.rs
+++ b/soak/src/caller.rs
@@ -1,4 +1,4 @@
-//! Callers: they send requests, keep connections, and write down what comes.
+//! Callers that send requests over persistent connections and record the outcomes.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -22,34 +22,34 @@
 use crate::config::KEYS;
 use crate::environment::Environment;
 use crate::fake_upstream::HOT;
-use crate::fake_upstream::bad_body;
+use crate::fake_upstream::crashing_body;
 
-/// How long a caller waits for an answer.
+/// The time for which a caller waits for an answer.
 const DEADLINE: Duration = Duration::from_millis(3_000);
-/// Between two requests of a caller.
-const THINKS: Duration = Duration::from_millis(40);
-/// The longest that a caller waits because it was told to.
-const LONGEST_PAUSE: Duration = Duration::from_millis(1_000);
+/// The delay between two requests of a caller.
+const THINK_TIME: Duration = Duration::from_millis(40);
+/// The longest that a caller waits before it sends again, whatever `Retry-After` asks for.
+const MAX_PAUSE: Duration = Duration::from_millis(1_000);
 
-/// The ways that bad requests take, by their numbers.
-const BAD_WAYS: [&str; 4] = ["tell", "draft", "look", "book"];
+/// The routes of crashing requests, selected by their numbers.
+const CRASHING_ROUTES: [&str; 4] = ["tell", "draft", "look", "book"];
 
-/// A caller that sends one request after the other.
+/// A caller that sends requests sequentially.
 #[derive(Debug)]
 pub(crate) struct Caller {
-    pub(crate) environment: Arc<Environment>,
+    pub(crate) env: Arc<Environment>,
     pub(crate) pool: HttpPool,
-    /// How often each instance was started.
+    /// The number of starts of each instance.
     pub(crate) starts: Arc<Vec<AtomicU32>>,
     pub(crate) stopped: Arc<AtomicBool>,
     pub(crate) rng: fastrand::Rng,
-    /// True if it also sends the hot request.
+    /// True if the caller also sends the hot request.
     pub(crate) hot: bool,
 }
 
 impl Caller {
-    /// Sends requests until told to stop. It stays with an instance for a while
-    /// and leaves it at once where that refuses or fails it.
+    /// Sends requests until `stopped` is set. The caller mostly stays with an instance, and
+    /// switches to a random one after a request that was not served.
     pub(crate) async fn run(mut self) {
         let count = self.starts.len();
         let mut instance = self.rng.usize(..count);
@@ -58,11 +58,11 @@
             if pause.is_some() || self.rng.u8(..10) == 0 {
                 instance = self.rng.usize(..count);
             }
-            Timer::after(pause.unwrap_or_default().min(LONGEST_PAUSE) + THINKS).await;
+            Timer::after(pause.unwrap_or_default().min(MAX_PAUSE) + THINK_TIME).await;
         }
     }
 
-    /// Sends one request; if it was not served, how long to wait.
+    /// Sends a request of a random kind. Returns the time to wait if it was not served.
     async fn request(&mut self, instance: usize) -> Option<Duration> {
         let kind = match self.rng.u8(0..12) {
             0..2 if self.hot => RequestKind::Hot,
@@ -71,36 +71,36 @@
             7..9 => RequestKind::ResumableStream,
             9 | 10 => RequestKind::Stream,
             _ => {
-                let newest = self.environment.version();
+                let newest = self.env.version();
                 RequestKind::ConfigProbe(self.rng.u64(newest.saturating_sub(1).max(1)..=newest))
             }
         };
         self.send(instance, kind).await
     }
 
-    /// Sends a request of a kind.
+    /// Sends a request of this kind. Returns the time to wait if it was not served.
     pub(crate) async fn send(&mut self, instance: usize, kind: RequestKind) -> Option<Duration> {
         let id = format!("{:016x}", self.rng.u64(..));
         let key = KEYS[self.rng.usize(..KEYS.len())];
         let start = self.starts[instance].load(Ordering::Relaxed);
-        let sent = self.environment.recorder.now();
-        let address = self.environment.callers_at(instance);
+        let sent = self.env.recorder.now();
+        let address = self.env.callers_at(instance);
         let sending = self
             .pool
             .send(address, request(&id, kind, key), DEADLINE, false);
         let (outcome, pause) = match sending.await {
             Some(Ok(res)) => read(res).await,
-            Some(Err(SendError::NotSent)) => (Outcome::NotSent, Some(THINKS)),
-            Some(Err(SendError::Broken)) => (Outcome::ConnectionLost, Some(THINKS)),
-            None => (Outcome::TimedOut, Some(THINKS)),
+            Some(Err(SendError::NotSent)) => (Outcome::NotSent, Some(THINK_TIME)),
+            Some(Err(SendError::Broken)) => (Outcome::ConnectionLost, Some(THINK_TIME)),
+            None => (Outcome::TimedOut, Some(THINK_TIME)),
         };
-        self.environment.recorder.attempt(Attempt {
+        self.env.recorder.attempt(Attempt {
             id,
             kind,
             key,
             instance: (instance, start),
             sent,
-            ended: self.environment.recorder.now(),
+            ended: self.env.recorder.now(),
             outcome,
         });
         pause
@@ -115,18 +115,21 @@
         RequestKind::Stream => "/tell/x".into(),
         RequestKind::Hot => "/look/hot".into(),
         RequestKind::Crashing(number) => {
-            format!("/{}/bad", BAD_WAYS[number as usize % BAD_WAYS.len()])
+            format!(
+                "/{}/bad",
+                CRASHING_ROUTES[number as usize % CRASHING_ROUTES.len()]
+            )
         }
         RequestKind::ConfigProbe(version) => format!("/v{version}/x"),
     };
     let body = match kind {
         RequestKind::Hot => HOT.into(),
-        RequestKind::Crashing(number) => bad_body(number),
+        RequestKind::Crashing(number) => crashing_body(number),
         _ => id.to_string(),
     };
     let mut req = Request::new(jd_net::full(body));
     *req.method_mut() = Method::POST;
-    // Paths of a soak are plain text, so each is one.
+    // The paths of a soak are plain text and always parse.
     *req.uri_mut() = path.parse().unwrap_or_default();
     let deadline = DEADLINE.as_millis().to_string();
     let headers = [
@@ -136,7 +139,7 @@
         ("authorization", &format!("Token {key}")),
         ("jacinthdeal-chunks", "2"),
         ("jacinthdeal-chunk-key", id),
-        // What only the system may set: it must not reach an upstream.
+        // Only instances may set this header, so the value must not reach an upstream.
         ("jacinthdeal-tenant", "somebody-else"),
     ];
     for (name, value) in headers {
@@ -150,10 +153,10 @@
 async fn read(mut res: HttpResponse) -> (Outcome, Option<Duration>) {
     let status = res.status.as_u16();
     let signature = res.header("jacinthdeal-signature").map(String::from);
-    let told = res.header("retry-after").and_then(|t| t.parse().ok());
+    let retry_after = res.header("retry-after").and_then(|t| t.parse().ok());
     let pause = (!res.status.is_success()).then(|| {
-        let told = told.and_then(|s| Duration::try_from_secs_f64(s).ok());
-        told.unwrap_or(THINKS)
+        let retry_after = retry_after.and_then(|s| Duration::try_from_secs_f64(s).ok());
+        retry_after.unwrap_or(THINK_TIME)
     });
     let mut body = String::new();
     let complete = loop {
--- a/soak/src/config.rs
+++ b/soak/src/config.rs
@@ -1,18 +1,18 @@
-//! The configurations that the operator of a soak puts in force.
+//! The configurations that the operator of a soak writes.
 
 use serde_json::Value;
 use serde_json::json;
 
-/// The host that callers name.
+/// The host that callers send in their requests.
 pub(crate) const HOST: &str = "soak.example";
-/// The customer that holds all credentials.
+/// The customer that owns all credentials.
 pub(crate) const TENANT: &str = "walkers";
-/// Credentials that callers show. The operator takes them away from the last to
-/// the second; the first stays.
+/// Credentials of the callers. The operator revokes them from the last to the second; the
+/// first one stays valid.
 pub(crate) const KEYS: [&str; 4] = ["key-0", "key-1", "key-2", "key-3"];
 
-/// A configuration: its version, whose number is also in the path of the one
-/// route that only this version has, and how many credentials are in force.
+/// Builds the configuration of a version with the first `keys` credentials. The path of
+/// one route contains the version's number, so that only this version has that route.
 pub(crate) fn config(version: u64, keys: usize) -> Value {
     let route = |name: &str, kind: &str, service: &str| {
         json!({
--- a/soak/src/environment.rs
+++ b/soak/src/environment.rs
@@ -1,4 +1,4 @@
-//! Everything around the instances of a soak.
+//! The environment of the instances in a soak: store, upstreams, links and operator.
 
 use std::net::IpAddr;
 use std::net::Ipv4Addr;
@@ -27,66 +27,69 @@
 use crate::config::KEYS;
 use crate::fake_stage_upstream::FakeStageUpstream;
 use crate::fake_stage_upstream::Results;
+use crate::fake_store::FakeStore;
 use crate::fake_upstream::FakeUpstream;
 use crate::relay::Relay;
 use crate::store::Records;
-use crate::store_api::StoreApi;
 
-/// Upstreams and their services.
-const ENGINES: [&str; 9] = [
+/// The services of the upstreams, one entry for each upstream.
+const SERVICES: [&str; 9] = [
     "desk", "desk", "desk", "model", "model", "model", "rank", "rank", "rank",
 ];
-/// Further writes that it loses then, and whose revisions it gives out again.
-const LOST: u32 = 30;
-/// How long instances have to see these.
-const SEEN_WITHIN: Duration = Duration::from_millis(300);
-/// How long the store is away until it comes back from a copy.
-const AWAY: Duration = Duration::from_millis(300);
-/// After which time the operator and the upstreams write again what it lost.
-const WRITTEN_AGAIN_AFTER: Duration = Duration::from_millis(400);
-/// Where an instance answers, in the order of its settings.
+/// Writes after the copy that a restore loses. The store assigns their revisions again.
+const LOST_WRITES: u32 = 30;
+/// The time for instances to read these writes before the store fails.
+const READ_DELAY: Duration = Duration::from_millis(300);
+/// The time for which the store is unavailable before it is restored from a copy.
+const OUTAGE: Duration = Duration::from_millis(300);
+/// The time after a restore at which the operator and the upstreams repeat the lost
+/// writes.
+const REWRITE_DELAY: Duration = Duration::from_millis(400);
+/// The ports of an instance, in the order of its settings.
 const PORTS: [u16; 5] = [7_001, 7_002, 7_003, 7_004, 7_005];
-/// The port of relays to the store, of upstreams, and of relays to these.
+/// The port of the store, of relays to it, and of upstreams. Relays to upstreams use the
+/// next port.
 const SERVICE_PORT: u16 = 7_010;
-/// How long an upstream that starts again is down.
-const DOWN: Duration = Duration::from_millis(150);
-/// From the first byte of a request that ends its upstream to that end.
-const ENDS_AFTER: Duration = Duration::from_millis(40);
-/// How long it is down then. Entries of the users' upstreams stay for that long.
-const DOWN_BY_REQUEST: Duration = Duration::from_millis(900);
-/// The last number of the first upstream's address; instances come before.
-const FIRST_ENGINE: usize = 200;
+/// The time for which a restarting upstream is down.
+const RESTART_DOWNTIME: Duration = Duration::from_millis(150);
+/// The time from the start of a crashing request to the crash of its upstream.
+const CRASH_DELAY: Duration = Duration::from_millis(40);
+/// The time from a crash to the replacement of the upstream. The entries of the users'
+/// upstreams remain for that long.
+const CRASH_DOWNTIME: Duration = Duration::from_millis(900);
+/// The last octet of the first upstream's address. Instances use lower numbers.
+const FIRST_UPSTREAM: usize = 200;
 
-/// An upstream behind its link.
+/// An upstream and the link to it.
 #[derive(Debug)]
-pub(crate) struct Place {
+pub(crate) struct Upstream {
     pub(crate) service: &'static str,
-    pub(crate) handler: Served,
+    pub(crate) handler: UpstreamHandler,
     pub(crate) link: Arc<Relay>,
 }
 
-/// What answers at an upstream's address.
+/// The handler at an upstream's address.
 #[derive(Debug)]
-pub(crate) enum Served {
+pub(crate) enum UpstreamHandler {
     Requests(Arc<FakeUpstream>),
     Pieces(Arc<FakeStageUpstream>),
 }
 
-impl Served {
-    pub(crate) fn engine(&self) -> &FakeUpstream {
+impl UpstreamHandler {
+    pub(crate) fn fake(&self) -> &FakeUpstream {
         match self {
-            Served::Requests(engine) => engine,
-            Served::Pieces(stage) => &stage.engine,
+            UpstreamHandler::Requests(fake) => fake,
+            UpstreamHandler::Pieces(stage) => &stage.fake,
         }
     }
 }
 
-/// Everything around the instances: the store, upstreams, links, the operator.
+/// The store, the upstreams, the links and the operator around the instances.
 #[derive(Debug)]
 pub(crate) struct Environment {
-    pub(crate) store: Arc<StoreApi>,
+    pub(crate) store: Arc<FakeStore>,
     pub(crate) recorder: Arc<Recorder>,
-    pub(crate) places: Vec<Place>,
+    pub(crate) upstreams: Vec<Upstream>,
     pub(crate) store_links: Vec<Arc<Relay>>,
     ended: Receiver<String>,
     network: [u8; 3],
@@ -94,7 +97,7 @@
     _servers: Vec<HttpServer>,
 }
 
-/// What the operator has put in force.
+/// The configuration that the operator wrote last.
 #[derive(Debug)]
 struct Operator {
     version: u64,
@@ -102,76 +105,79 @@
 }
 
 impl Environment {
-    /// Everything for `instances` instances, on loopback addresses that begin
-    /// with `network`.
+    /// Starts the environment of `instances` instances on loopback addresses that begin with
+    /// `network`.
     pub(crate) fn start(
         executor: &Arc<Executor<'static>>,
         network: [u8; 3],
         instances: usize,
     ) -> std::io::Result<Environment> {
         let recorder = Arc::new(Recorder::default());
-        let store = Arc::new(StoreApi::default());
+        let store = Arc::new(FakeStore::default());
         let results = Arc::new(Results::default());
         let listen = |address, handler: Arc<dyn Handler>| {
             let limits = ServerLimits::default();
             HttpServer::start(Arc::clone(executor), address, limits, handler)
         };
-        let store_at = at(network, 1, SERVICE_PORT);
-        let mut servers = vec![listen(store_at, Arc::clone(&store) as Arc<dyn Handler>)?];
+        let store_address = at(network, 1, SERVICE_PORT);
+        let mut servers = vec![listen(
+            store_address,
+            Arc::clone(&store) as Arc<dyn Handler>,
+        )?];
         executor.spawn(Arc::clone(&store).expire()).detach();
         let links = (0..instances).map(|n| {
             let own = at(network, 2 + n, SERVICE_PORT);
-            Relay::start(executor, own, store_at)
+            Relay::start(executor, own, store_address)
         });
         let store_links = links.collect::<std::io::Result<Vec<Arc<Relay>>>>()?;
         let (tx, ended) = async_channel::unbounded();
-        let mut places = Vec::with_capacity(ENGINES.len());
-        for (n, service) in ENGINES.into_iter().enumerate() {
-            let address = at(network, FIRST_ENGINE + n, SERVICE_PORT);
+        let mut upstreams = Vec::with_capacity(SERVICES.len());
+        for (n, service) in SERVICES.into_iter().enumerate() {
+            let address = at(network, FIRST_UPSTREAM + n, SERVICE_PORT);
             let link = Relay::start(
                 executor,
-                at(network, FIRST_ENGINE + n, SERVICE_PORT + 1),
+                at(network, FIRST_UPSTREAM + n, SERVICE_PORT + 1),
                 address,
             )?;
-            let engine = FakeUpstream {
+            let fake = FakeUpstream {
                 id: Mutex::new(new_id()),
-                born: AtomicU64::new(now_ms()),
+                started_ms: AtomicU64::new(unix_time_ms()),
                 mode: Mutex::default(),
                 limit: Mutex::default(),
                 draining: AtomicBool::new(false),
-                says_leaving: AtomicBool::new(false),
+                announces_leaving: AtomicBool::new(false),
                 recorder: Arc::clone(&recorder),
                 results: Arc::clone(&results),
                 ended: tx.clone(),
             };
-            let (handler, served): (Arc<dyn Handler>, Served) = match service {
+            let (handler, handler_kind): (Arc<dyn Handler>, UpstreamHandler) = match service {
                 "rank" => {
                     let address = link.address();
-                    let stage = Arc::new(FakeStageUpstream { engine, address });
+                    let stage = Arc::new(FakeStageUpstream { fake, address });
                     (
                         Arc::clone(&stage) as Arc<dyn Handler>,
-                        Served::Pieces(stage),
+                        UpstreamHandler::Pieces(stage),
                     )
                 }
                 _ => {
-                    let engine = Arc::new(engine);
+                    let fake = Arc::new(fake);
                     (
-                        Arc::clone(&engine) as Arc<dyn Handler>,
-                        Served::Requests(engine),
+                        Arc::clone(&fake) as Arc<dyn Handler>,
+                        UpstreamHandler::Requests(fake),
                     )
                 }
             };
             servers.push(listen(address, handler)?);
-            places.push(Place {
+            upstreams.push(Upstream {
                 service,
-                handler: served,
+                handler: handler_kind,
                 link,
             });
         }
-        let environment = Environment {
+        let env = Environment {
             store,
             recorder,
-            places,
+            upstreams,
             store_links,
             ended,
             network,
@@ -181,11 +187,11 @@
             }),
             _servers: servers,
         };
-        for place in &environment.places {
-            environment.register(place);
+        for upstream in &env.upstreams {
+            env.register(upstream);
         }
-        environment.configure();
-        Ok(environment)
+        env.configure();
+        Ok(env)
     }
 
     /// The settings of an instance.
@@ -209,103 +215,106 @@
         at(self.network, 2 + instance, PORTS[1])
     }
 
-    /// Writes an upstream's entry as it is now.
-    pub(crate) fn register(&self, place: &Place) {
-        let engine = place.handler.engine();
-        let id = engine.id();
-        let state = match engine.draining.load(Ordering::Relaxed) {
+    /// Writes the current entry of an upstream to the store.
+    pub(crate) fn register(&self, upstream: &Upstream) {
+        let fake = upstream.handler.fake();
+        let id = fake.id();
+        let state = match fake.draining.load(Ordering::Relaxed) {
             true => "draining",
             false => "ready",
         };
         let entry = json!({
-            "service": place.service, "addr": place.link.address(), "zone": "hall-a",
+            "service": upstream.service, "addr": upstream.link.address(), "zone": "hall-a",
             "version": "v1", "slots": 16, "state": state, "cold_left_ms": 0, "seq": 1,
-            "born": engine.born.load(Ordering::Relaxed),
+            "born": fake.started_ms.load(Ordering::Relaxed),
         });
         self.store.put(&format!("servers/{id}"), &entry);
     }
 
-    /// Another upstream has the address from now on.
-    pub(crate) fn replace(&self, place: &Place) {
-        let engine = place.handler.engine();
-        let gone = std::mem::replace(&mut *lock(&engine.id), new_id());
-        engine.draining.store(false, Ordering::Relaxed);
-        engine.says_leaving.store(false, Ordering::Relaxed);
-        self.store.remove(&format!("servers/{gone}"));
-        self.register(place);
+    /// Replaces an upstream by one with a new identity at the same address.
+    pub(crate) fn replace(&self, upstream: &Upstream) {
+        let fake = upstream.handler.fake();
+        let old = std::mem::replace(&mut *lock(&fake.id), new_id());
+        fake.draining.store(false, Ordering::Relaxed);
+        fake.announces_leaving.store(false, Ordering::Relaxed);
+        self.store.remove(&format!("servers/{old}"));
+        self.register(upstream);
     }
 
-    /// The store comes back from a copy. The operator and the upstreams write again what
-    /// they wrote, and entries of upstreams that are gone end.
+    /// Restores the store from a copy after an outage. Then the operator and the upstreams
+    /// repeat their writes, and entries of upstreams that are old are removed.
     pub(crate) async fn restore(&self, copy: Records) {
-        for n in 0..LOST {
+        for n in 0..LOST_WRITES {
             self.store.put("op/other", &json!(n));
         }
-        Timer::after(SEEN_WITHIN).await;
+        Timer::after(READ_DELAY).await;
         *lock(&self.store.mode) = Some(StoreMode::Refuses);
-        Timer::after(AWAY).await;
+        Timer::after(OUTAGE).await;
         self.store.restore(copy);
         *lock(&self.store.mode) = None;
-        Timer::after(WRITTEN_AGAIN_AFTER).await;
-        // A new version, under a revision that was given out before.
+        Timer::after(REWRITE_DELAY).await;
+        // A new configuration version, under a revision that the store already assigned before.
         self.configure();
-        for place in &self.places {
-            self.register(place);
+        for upstream in &self.upstreams {
+            self.register(upstream);
         }
-        let there: Vec<String> = self
-            .places
+        let present: Vec<String> = self
+            .upstreams
             .iter()
-            .map(|p| p.handler.engine().id())
+            .map(|p| p.handler.fake().id())
             .collect();
         let listed = lock(&self.store.records).range("servers/", "");
-        let gone = listed.iter().filter(|r| {
+        let stale = listed.iter().filter(|r| {
             let id = r.key.strip_prefix("servers/").unwrap_or_default();
-            !there.iter().any(|t| t == id)
+            !present.iter().any(|t| t == id)
         });
-        for record in gone {
+        for record in stale {
             self.store.remove(&record.key);
         }
     }
 
-    /// An upstream ends, with all that it holds and its connections, and starts again
-    /// under its identity.
-    pub(crate) async fn start_again(&self, place: &Place) {
-        place.link.set(Some(LinkMode::Resets));
-        place.handler.engine().results.lose(place.link.address());
-        Timer::after(DOWN).await;
-        place
+    /// Restarts an upstream under its identity. Its connections and held results are lost.
+    pub(crate) async fn restart(&self, upstream: &Upstream) {
+        upstream.link.set(Some(LinkMode::Resets));
+        upstream
             .handler
-            .engine()
-            .born
-            .store(now_ms(), Ordering::Relaxed);
-        self.register(place);
-        place.link.set(None);
+            .fake()
+            .results
+            .drop_all(upstream.link.address());
+        Timer::after(RESTART_DOWNTIME).await;
+        upstream
+            .handler
+            .fake()
+            .started_ms
+            .store(unix_time_ms(), Ordering::Relaxed);
+        self.register(upstream);
+        upstream.link.set(None);
     }
 
-    /// Ends for good the upstreams whose requests end them; each is back after a while
-    /// under another identity.
-    pub(crate) async fn end_by_requests(self: Arc<Self>, executor: Arc<Executor<'static>>) {
+    /// Crashes the upstreams that executed a crashing request. Each is later replaced by an
+    /// upstream with another identity.
+    pub(crate) async fn handle_crashes(self: Arc<Self>, executor: Arc<Executor<'static>>) {
         while let Ok(id) = self.ended.recv().await {
-            let environment = Arc::clone(&self);
+            let env = Arc::clone(&self);
             let ending = async move {
-                let mut places = environment.places.iter();
-                if let Some(place) = places.find(|p| p.handler.engine().id() == id) {
-                    environment.end(place).await;
+                let mut upstreams = env.upstreams.iter();
+                if let Some(upstream) = upstreams.find(|p| p.handler.fake().id() == id) {
+                    env.end(upstream).await;
                 }
             };
             executor.spawn(ending).detach();
         }
     }
 
-    async fn end(&self, place: &Place) {
-        Timer::after(ENDS_AFTER).await;
-        place.link.set(Some(LinkMode::Refuses));
-        Timer::after(DOWN_BY_REQUEST).await;
-        self.replace(place);
-        place.link.set(None);
+    async fn end(&self, upstream: &Upstream) {
+        Timer::after(CRASH_DELAY).await;
+        upstream.link.set(Some(LinkMode::Refuses));
+        Timer::after(CRASH_DOWNTIME).await;
+        self.replace(upstream);
+        upstream.link.set(None);
     }
 
-    /// Puts the next configuration in force; its version.
+    /// Writes the next configuration and returns its version.
     pub(crate) fn configure(&self) -> u64 {
         let mut operator = lock(&self.operator);
         operator.version += 1;
@@ -313,7 +322,7 @@
         operator.version
     }
 
-    /// Takes a credential away; which one, if there was one left to take.
+    /// Revokes a credential and returns it, or `None` if only the first one is left.
     pub(crate) fn revoke(&self) -> Option<&'static str> {
         let mut operator = lock(&self.operator);
         if operator.keys <= 1 {
@@ -335,8 +344,8 @@
     }
 }
 
-/// The time of day in milliseconds since 1970, by which upstreams tell their starts.
-pub(crate) fn now_ms() -> u64 {
+/// Milliseconds since 1970, in which upstreams state the time of their start.
+pub(crate) fn unix_time_ms() -> u64 {
     let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     since.map_or(0, |s| s.as_millis() as u64)
 }
--- a/soak/src/fake_stage_upstream.rs
+++ b/soak/src/fake_stage_upstream.rs
@@ -1,4 +1,4 @@
-//! A stand-in of an upstream that works on pieces of stages.
+//! A fake upstream that processes pieces of stages.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -20,59 +20,59 @@
 use serde_json::json;
 
 use crate::UpstreamMode;
+use crate::fake_store::json_body;
+use crate::fake_store::status;
 use crate::fake_upstream::FakeUpstream;
 use crate::fake_upstream::set_backoff;
-use crate::store_api::json_body;
-use crate::store_api::status;
 
-/// What a call takes.
-const CALL: Duration = Duration::from_millis(30);
+/// The execution time of a call.
+const CALL_DURATION: Duration = Duration::from_millis(30);
 
-/// The results of all stages: which request each belongs to.
+/// The held results of all stages, with the request that owns each of them.
 #[derive(Debug, Default)]
 pub(crate) struct Results {
-    made: Mutex<HashMap<String, String>>,
+    owners: Mutex<HashMap<String, String>>,
 }
 
 impl Results {
-    /// True if all of these results, if any, belong to the request.
-    pub(crate) fn are_of(&self, handles: &str, id: &str) -> bool {
-        let made = lock(&self.made);
+    /// True if none of these results is known to belong to another request.
+    pub(crate) fn belong_to(&self, handles: &str, id: &str) -> bool {
+        let owners = lock(&self.owners);
         let mut handles = handles.split(',').filter(|h| !h.is_empty());
-        handles.all(|h| made.get(h).is_none_or(|owner| owner == id))
+        handles.all(|h| owners.get(h).is_none_or(|owner| owner == id))
     }
 
-    /// True if there are results and none of them is gone.
-    pub(crate) fn are_there(&self, handles: &str) -> bool {
-        let made = lock(&self.made);
+    /// True if all of these results are still held. False for an empty list.
+    pub(crate) fn are_held(&self, handles: &str) -> bool {
+        let owners = lock(&self.owners);
         let mut handles = handles.split(',');
-        handles.all(|h| made.contains_key(h))
+        handles.all(|h| owners.contains_key(h))
     }
 
     fn make(&self, at: SocketAddr, id: &str) -> String {
         let handle = format!("{at}/{:016x}", fastrand::u64(..));
-        lock(&self.made).insert(handle.clone(), id.into());
+        lock(&self.owners).insert(handle.clone(), id.into());
         handle
     }
 
-    /// The upstream at this address ended with all that it held.
-    pub(crate) fn lose(&self, at: SocketAddr) {
+    /// Drops the results of the upstream at this address after its end.
+    pub(crate) fn drop_all(&self, at: SocketAddr) {
         let prefix = format!("{at}/");
-        lock(&self.made).retain(|handle, _| !handle.starts_with(&prefix));
+        lock(&self.owners).retain(|handle, _| !handle.starts_with(&prefix));
     }
 
     fn free(&self, handles: &[Value]) {
-        let mut made = lock(&self.made);
+        let mut owners = lock(&self.owners);
         for handle in handles.iter().filter_map(Value::as_str) {
-            made.remove(handle);
+            owners.remove(handle);
         }
     }
 }
 
-/// A stand-in of an upstream that works on pieces of stages.
+/// A fake upstream that processes pieces of stages.
 #[derive(Debug)]
 pub(crate) struct FakeStageUpstream {
-    pub(crate) engine: FakeUpstream,
+    pub(crate) fake: FakeUpstream,
     pub(crate) address: SocketAddr,
 }
 
@@ -84,13 +84,13 @@
         let body: Value = serde_json::from_slice(&body.unwrap_or_default()).unwrap_or_default();
         let rows = |name: &str| body[name].as_array().cloned().unwrap_or_default();
         if path == "/v1/stage-free" {
-            self.engine.results.free(&rows("handles"));
+            self.fake.results.free(&rows("handles"));
             return json_body(&json!({}));
         }
-        if expected.is_none_or(|e| e.as_bytes() != self.engine.id().as_bytes()) {
+        if expected.is_none_or(|e| e.as_bytes() != self.fake.id().as_bytes()) {
             return status(StatusCode::MISDIRECTED_REQUEST);
         }
-        let mode = *lock(&self.engine.mode);
+        let mode = *lock(&self.fake.mode);
         match mode {
             Some(UpstreamMode::Sheds | UpstreamMode::Fails | UpstreamMode::RequestsBackoff(_)) => {
                 let mut res = status(StatusCode::SERVICE_UNAVAILABLE);
@@ -100,13 +100,13 @@
             Some(UpstreamMode::Hangs) => futures_lite::future::pending().await,
             _ => {}
         }
-        Timer::after(CALL).await;
-        let made = rows("items").into_iter().map(|item| {
+        Timer::after(CALL_DURATION).await;
+        let items = rows("items").into_iter().map(|item| {
             let id = item["id"].as_str().unwrap_or_default();
-            json!({ "handle": self.engine.results.make(self.address, id) })
+            json!({ "handle": self.fake.results.make(self.address, id) })
         });
-        let made: Vec<Value> = made.collect();
-        json_body(&json!({ "items": made }))
+        let items: Vec<Value> = items.collect();
+        json_body(&json!({ "items": items }))
     }
 }
 
@@ -114,7 +114,7 @@
     fn handle(self: Arc<Self>, req: Request<Incoming>) -> HandlerFuture {
         Box::pin(async move {
             let res = self.answer(req).await;
-            self.engine.with_notices(res)
+            self.fake.with_notices(res)
         })
     }
 }
--- a/soak/src/store_api.rs
+++ b/soak/src/fake_store.rs
@@ -1,4 +1,4 @@
-//! The stand-in of the store as its callers see it.
+//! The HTTP interface of the fake store.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -29,22 +29,22 @@
 use crate::store::Record;
 use crate::store::Records;
 
-/// How often leases are looked through.
-const EXPIRE_EVERY: Duration = Duration::from_millis(50);
-/// The largest body of a call, in bytes.
-const MAX_BODY: usize = 2 << 20;
+/// The interval of checks for expired leases.
+const EXPIRY_INTERVAL: Duration = Duration::from_millis(50);
+/// The maximum size of a request body in bytes.
+const MAX_BODY_BYTES: usize = 2 << 20;
 
-/// The stand-in of the store as its callers see it.
+/// The fake store behind its HTTP interface.
 #[derive(Debug, Default)]
-pub(crate) struct StoreApi {
+pub(crate) struct FakeStore {
     pub(crate) records: Mutex<Records>,
     pub(crate) mode: Mutex<Option<StoreMode>>,
     changed: Event,
     writes: Mutex<u64>,
 }
 
-impl StoreApi {
-    /// Writes what the operator and the upstreams write; the revision.
+impl FakeStore {
+    /// Writes a record for the operator or an upstream and returns its revision.
     pub(crate) fn put(&self, key: &str, value: &Value) -> u64 {
         let put = (key.to_string(), value.to_string().into_bytes(), 0);
         let written = lock(&self.records).write(&[], vec![put], &[]);
@@ -54,21 +54,21 @@
 
     pub(crate) fn remove(&self, key: &str) {
         let removed = [key.to_string()];
-        // Nothing is expected, so that it cannot fail.
+        // The write expects no revisions, so it cannot fail.
         let _ = lock(&self.records).write(&[], Vec::new(), &removed);
         self.changed.notify(usize::MAX);
     }
 
-    /// Comes back from a copy.
+    /// Restores the records from a copy.
     pub(crate) fn restore(&self, copy: Records) {
         lock(&self.records).restore(copy);
         self.changed.notify(usize::MAX);
     }
 
-    /// Ends leases for good.
+    /// Removes expired leases in an endless loop.
     pub(crate) async fn expire(self: Arc<Self>) {
         loop {
-            Timer::after(EXPIRE_EVERY).await;
+            Timer::after(EXPIRY_INTERVAL).await;
             if lock(&self.records).expire(Instant::now()) {
                 self.changed.notify(usize::MAX);
             }
@@ -87,21 +87,21 @@
         }
         let (parts, body) = req.into_parts();
         let query = query(parts.uri.query().unwrap_or(""));
-        let body = read_bounded(body, MAX_BODY).await.unwrap_or_default();
+        let body = read_bounded(body, MAX_BODY_BYTES).await.unwrap_or_default();
         let body: Value = serde_json::from_slice(&body).unwrap_or_default();
         let path = parts.uri.path();
-        let renewed = path.strip_prefix("/v1/kv-keep/");
-        let (res, wrote) = match path {
+        let renewed_lease = path.strip_prefix("/v1/kv-keep/");
+        let (res, is_write) = match path {
             "/v1/kv-range" => (self.range(&query), false),
             "/v1/kv-watch" => (self.watch(&query).await, false),
             "/v1/kv-txn" => (self.write(&body), true),
             "/v1/kv-lease" => (self.lease(&body), true),
-            _ => match renewed.and_then(|l| l.parse().ok()) {
+            _ => match renewed_lease.and_then(|l| l.parse().ok()) {
                 Some(lease) => (self.renew(lease), false),
                 None => (status(StatusCode::NOT_FOUND), false),
             },
         };
-        if wrote && mode == Some(StoreMode::LosesReplies) {
+        if is_write && mode == Some(StoreMode::LosesReplies) {
             let lost = {
                 let mut writes = lock(&self.writes);
                 *writes += 1;
@@ -132,15 +132,15 @@
         let era = lock(&self.records).era();
         loop {
             let changed = self.changed.listen();
-            let (news, revision) = {
+            let (changes, revision) = {
                 let records = lock(&self.records);
                 (records.since(after, &prefix), records.revision())
             };
-            let Some(news) = news.filter(|_| lock(&self.records).era() == era) else {
+            let Some(changes) = changes.filter(|_| lock(&self.records).era() == era) else {
                 return status(StatusCode::GONE);
             };
-            if !news.is_empty() || Instant::now() >= until {
-                let events: Vec<Value> = news.iter().map(item).collect();
+            if !changes.is_empty() || Instant::now() >= until {
+                let events: Vec<Value> = changes.iter().map(item).collect();
                 return json_body(&json!({ "events": events, "store_revision": revision }));
             }
             let late = async {
@@ -190,7 +190,7 @@
     }
 }
 
-impl Handler for StoreApi {
+impl Handler for FakeStore {
     fn handle(self: Arc<Self>, req: Request<Incoming>) -> HandlerFuture {
         Box::pin(async move {
             let mut res = self.answer(req).await;
--- a/soak/src/fake_upstream.rs
+++ b/soak/src/fake_upstream.rs
@@ -1,4 +1,4 @@
-//! A stand-in of an upstream that answers requests, whole or as a stream.
+//! A fake upstream that answers requests with a single body or a stream of events.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -31,56 +31,56 @@
 use crate::UpstreamRequest;
 use crate::config::TENANT;
 use crate::fake_stage_upstream::Results;
-use crate::store_api::status;
+use crate::fake_store::status;
 
-/// Events of a stream.
+/// The number of events in a stream.
 pub(crate) const EVENTS: u64 = 8;
-/// Between two events.
-const EVENT_EVERY: Duration = Duration::from_millis(30);
-/// What a request with one answer takes.
-const WORK: Duration = Duration::from_millis(15);
-/// The event in the middle of which a torn stream ends.
-const TORN_AT: u64 = 3;
+/// The interval between two events.
+const EVENT_INTERVAL: Duration = Duration::from_millis(30);
+/// The execution time of a request that is not answered by a stream.
+const EXECUTION_TIME: Duration = Duration::from_millis(15);
+/// The event within which a truncated stream is cut off.
+const TRUNCATED_EVENT: u64 = 3;
 
-/// The body of the request that many send.
+/// The body of the hot request, which is the same at each attempt.
 pub(crate) const HOT: &str = "hot";
-/// What the bodies of requests that end upstreams begin with.
-const BAD: &str = "bad-";
+/// The prefix of the bodies of crashing requests.
+const CRASHING_PREFIX: &str = "bad-";
 
-/// The body of the bad request of that number.
-pub(crate) fn bad_body(number: u64) -> String {
-    format!("{BAD}{number}")
+/// The body of the crashing request with this number.
+pub(crate) fn crashing_body(number: u64) -> String {
+    format!("{CRASHING_PREFIX}{number}")
 }
 
-fn bad_number(body: &[u8]) -> Option<u64> {
+fn crash_number_of(body: &[u8]) -> Option<u64> {
     let text = std::str::from_utf8(body).ok()?;
-    text.strip_prefix(BAD)?.parse().ok()
+    text.strip_prefix(CRASHING_PREFIX)?.parse().ok()
 }
 
-/// A stand-in of an upstream.
+/// A fake upstream.
 #[derive(Debug)]
 pub(crate) struct FakeUpstream {
     pub(crate) id: Mutex<String>,
-    /// When it started, in milliseconds since 1970.
-    pub(crate) born: AtomicU64,
+    /// The time of the start, in milliseconds since 1970.
+    pub(crate) started_ms: AtomicU64,
     pub(crate) mode: Mutex<Option<UpstreamMode>>,
-    /// The limit that it names, in requests a second.
+    /// The announced rate limit, in requests per second.
     pub(crate) limit: Mutex<Option<u32>>,
-    /// True once its entry says that it leaves.
+    /// True once the entry in the store is marked as draining.
     pub(crate) draining: AtomicBool,
-    /// True once its answers say so.
-    pub(crate) says_leaving: AtomicBool,
+    /// True once answers announce that the upstream is leaving.
+    pub(crate) announces_leaving: AtomicBool,
     pub(crate) recorder: Arc<Recorder>,
     pub(crate) results: Arc<Results>,
-    /// Takes the identity of an upstream that ends with a request.
+    /// Receives the identity of an upstream that executed a crashing request.
     pub(crate) ended: Sender<String>,
 }
 
-/// What a stream still has to send.
-struct Rest {
+/// The state of a stream.
+struct StreamState {
     id: String,
     next: u64,
-    torn: bool,
+    truncated: bool,
 }
 
 impl FakeUpstream {
@@ -88,9 +88,9 @@
         lock(&self.id).clone()
     }
 
-    /// An answer of it, with what it says of what may be sent to it next.
+    /// Adds the upstream's current notices to an answer.
     pub(crate) fn with_notices(&self, mut res: Response<Body>) -> Response<Body> {
-        if self.says_leaving.load(Ordering::Relaxed) {
+        if self.announces_leaving.load(Ordering::Relaxed) {
             set(&mut res, "server-leaving", "1");
         }
         if let Some(limit) = *lock(&self.limit) {
@@ -105,23 +105,29 @@
         let header = |name: &str| parts.headers.get(name).and_then(|v| v.to_str().ok());
         let id = header("jacinthdeal-attempt-id").unwrap_or("").to_string();
         let body = read_bounded(body, 1 << 16).await.unwrap_or_default();
-        let bad = bad_number(&body);
+        let crashing = crash_number_of(&body);
         let path = parts.uri.path();
         let inputs = header("jacinthdeal-inputs").unwrap_or("");
         let fault = match () {
-            () if parts.headers.contains_key(AUTHORIZATION) => Some("was shown the credential"),
-            () if bad.is_none() && body != HOT && body != id.as_bytes() => Some("has another body"),
+            () if parts.headers.contains_key(AUTHORIZATION) => {
+                Some("contains the caller's credential")
+            }
+            () if crashing.is_none() && body != HOT && body != id.as_bytes() => {
+                Some("has a body that its caller did not send")
+            }
             () if !path.starts_with("/v") && header("jacinthdeal-tenant") != Some(TENANT) => {
-                Some("has another customer")
+                Some("names another customer or none")
             }
             () if header("jacinthdeal-deadline-ms").is_none() => Some("has no deadline"),
-            () if !self.results.are_of(inputs, &id) => Some("works on another's results"),
+            () if !self.results.belong_to(inputs, &id) => {
+                Some("uses stage results of another request")
+            }
             () => None,
         };
         let mode = *lock(&self.mode);
         let backoff = mode.and_then(UpstreamMode::backoff);
         let expected = header("jacinthdeal-expect-instance").is_some_and(|e| e == me);
-        let lacks_inputs = path.starts_with("/draft/") && !self.results.are_there(inputs);
+        let lacks_inputs = path.starts_with("/draft/") && !self.results.are_held(inputs);
         let refused = match () {
             () if !expected => Some(StatusCode::MISDIRECTED_REQUEST),
             () if mode == Some(UpstreamMode::Sheds) => Some(StatusCode::SERVICE_UNAVAILABLE),
@@ -134,10 +140,10 @@
             upstream: me.clone(),
             at: self.recorder.now(),
             executed: refused.is_none(),
-            crash_number: bad,
+            crash_number: crashing,
             fault,
             notice: Notice {
-                leaving: self.says_leaving.load(Ordering::Relaxed),
+                leaving: self.announces_leaving.load(Ordering::Relaxed),
                 backoff: backoff.filter(|_| refused == Some(StatusCode::SERVICE_UNAVAILABLE)),
             },
         });
@@ -148,34 +154,34 @@
             set_backoff(&mut res, backoff);
             return res;
         }
-        if bad.is_some() {
-            // Fails only once the soak is over.
+        if crashing.is_some() {
+            // Fails only after the end of the soak.
             let _ = self.ended.try_send(me.clone());
         }
         let streams = path.starts_with("/draft/") || path.starts_with("/tell/");
         let after = header("last-event-id").and_then(|t| t.parse().ok());
-        let work = self.work(mode, &id, streams, after.unwrap_or(0), bad.is_some());
-        let res = work.await;
+        let execute = self.execute(mode, &id, streams, after.unwrap_or(0), crashing.is_some());
+        let res = execute.await;
         signed(res, mode, &id, &me)
     }
 
-    async fn work(
+    async fn execute(
         &self,
         mode: Option<UpstreamMode>,
         id: &str,
         streams: bool,
         after: u64,
-        bad: bool,
+        crashing: bool,
     ) -> Response<Body> {
         match mode {
-            _ if bad && !streams => future::pending().await,
+            _ if crashing && !streams => future::pending().await,
             Some(UpstreamMode::Hangs) => future::pending().await,
             Some(UpstreamMode::Fails) => status(StatusCode::INTERNAL_SERVER_ERROR),
             _ if streams => Response::new(jd_net::stream(unfold(
-                Rest {
+                StreamState {
                     id: id.into(),
                     next: after + 1,
-                    torn: mode == Some(UpstreamMode::Truncates),
+                    truncated: mode == Some(UpstreamMode::Truncates),
                 },
                 next_event,
             ))),
@@ -185,37 +191,37 @@
                 Response::new(jd_net::stream(futures_lite::stream::iter(cut)))
             }
             _ => {
-                Timer::after(WORK).await;
+                Timer::after(EXECUTION_TIME).await;
                 Response::new(jd_net::full(plain_answer(id)))
             }
         }
     }
 }
 
-/// The answer to a request with one answer.
+/// The body of an answer that is not a stream.
 pub(crate) fn plain_answer(id: &str) -> String {
     format!("answer to {id}")
 }
 
-/// An event of a stream.
+/// The text of an event in a stream.
 pub(crate) fn event(id: &str, number: u64) -> String {
     format!("id: {number}\ndata: {id} {number}\n\n")
 }
 
-async fn next_event(rest: Rest) -> Option<(Result<Bytes, jd_net::BodyError>, Rest)> {
+async fn next_event(rest: StreamState) -> Option<(Result<Bytes, jd_net::BodyError>, StreamState)> {
     if rest.next > EVENTS {
         return None;
     }
-    Timer::after(EVENT_EVERY).await;
-    if rest.torn && rest.next > TORN_AT {
+    Timer::after(EVENT_INTERVAL).await;
+    if rest.truncated && rest.next > TRUNCATED_EVENT {
         return Some((Err("torn".into()), rest));
     }
     let mut text = event(&rest.id, rest.next);
-    if rest.torn && rest.next == TORN_AT {
+    if rest.truncated && rest.next == TRUNCATED_EVENT {
         text.truncate(text.len() / 2);
     }
     let next = rest.next + 1;
-    Some((Ok(Bytes::from(text)), Rest { next, ..rest }))
+    Some((Ok(Bytes::from(text)), StreamState { next, ..rest }))
 }
 
 fn signed(
@@ -233,7 +239,7 @@
     res
 }
 
-/// Has a refusal say for how long its upstream wants nothing more.
+/// Sets the backoff of a refusal in `Retry-After`.
 pub(crate) fn set_backoff(res: &mut Response<Body>, backoff: Option<Duration>) {
     if let Some(wait) = backoff.filter(|_| res.status() == StatusCode::SERVICE_UNAVAILABLE) {
         set(res, "retry-after", &wait.as_secs().to_string());
@@ -241,7 +247,7 @@
 }
 
 fn set(res: &mut Response<Body>, name: &'static str, value: &str) {
-    // Identities of a soak are hexadecimal, so each is a header's value.
+    // All values here are short ASCII texts, so they are valid header values.
     if let Ok(value) = HeaderValue::from_str(value) {
         res.headers_mut()
             .insert(HeaderName::from_static(name), value);
--- a/soak/src/fault.rs
+++ b/soak/src/fault.rs
@@ -1,39 +1,39 @@
-//! What a soak does to the system from outside.
+//! Faults and operations that a soak injects.
 
 use std::time::Duration;
 
-/// How the store misbehaves.
+/// A fault of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreMode {
-    /// It refuses every call.
+    /// Every call is refused.
     Refuses,
-    /// It accepts connections and answers nothing.
+    /// Connections are accepted, but no call is answered.
     Hangs,
-    /// Each answer takes this long.
+    /// Every call is delayed by this much.
     Slow(Duration),
-    /// It does every other write and does not answer.
+    /// Every other write is applied but not answered.
     LosesReplies,
 }
 
-/// How an upstream misbehaves.
+/// A fault of an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UpstreamMode {
-    /// It is full and says that it did nothing.
+    /// Requests are refused as not executed because the upstream is full.
     Sheds,
-    /// The same, and that it wants nothing more for so many seconds.
+    /// Requests are refused as not executed, with a backoff of this many seconds.
     RequestsBackoff(u8),
-    /// It runs the request and fails.
+    /// The request is executed and fails.
     Fails,
-    /// It runs the request and never answers.
+    /// The request is executed and never answered.
     Hangs,
-    /// It runs the request and breaks its answer off.
+    /// The request is executed and its answer is cut off.
     Truncates,
-    /// It runs the request and gives the answer to another one.
+    /// The request is executed, and the answer names another request.
     Misattributes,
 }
 
 impl UpstreamMode {
-    /// How long an upstream that refuses wants nothing more.
+    /// The backoff that the upstream asks for when it refuses a request.
     pub(crate) fn backoff(self) -> Option<Duration> {
         match self {
             UpstreamMode::RequestsBackoff(seconds) => Some(Duration::from_secs(seconds.into())),
@@ -42,73 +42,74 @@
     }
 }
 
-/// How the links to one upstream, or of one instance to the store, misbehave.
+/// A fault of the links to one upstream, or from one instance to the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LinkMode {
     /// Every connection is reset.
     Resets,
-    /// Open connections carry nothing any more; new ones work.
+    /// Open connections carry no more data; new connections work.
     BlackholesOpen,
-    /// Nothing is carried, on any connection.
+    /// No connection carries data in either direction.
     Blackholes,
-    /// Answers are not carried.
+    /// Data from the server to the client is not carried.
     BlackholesReplies,
-    /// Nobody listens, and nothing is carried.
+    /// The listener is closed, and so is every open connection.
     Refuses,
-    /// Everything takes this much longer.
+    /// Every read is forwarded with this delay.
     Delays(Duration),
 }
 
-/// One thing that a soak does. Places are numbers that are taken modulo how
-/// many there are.
+/// A fault or operation of a soak. Indices of instances and upstreams are taken
+/// modulo their count.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// An instance is killed and started again after the time.
+    /// An instance is killed and restarted after this time.
     Kill(usize, Duration),
-    /// All instances are killed at once and started again after the time.
+    /// All instances are killed at once and restarted after this time.
     KillAll(Duration),
-    /// An instance is stopped with grace and started again.
+    /// An instance is stopped gracefully and restarted.
     Stop(usize),
-    /// An instance stands still for the time.
+    /// An instance is suspended for this time.
     Pause(usize, Duration),
-    /// An instance is told that its settings changed.
+    /// An instance is signalled to reload its settings.
     Reload(usize),
-    /// The store misbehaves for the time.
+    /// The store has a fault for this time.
     Store(StoreMode, Duration),
-    /// The store forgets its history.
+    /// The store discards its history of changes.
     Compact,
-    /// An upstream misbehaves for the time.
+    /// An upstream has a fault for this time.
     Upstream(usize, UpstreamMode, Duration),
-    /// The links to an upstream misbehave for the time.
+    /// The links to an upstream have a fault for this time.
     UpstreamLink(usize, LinkMode, Duration),
-    /// An instance's links to the store misbehave for the time.
+    /// An instance's links to the store have a fault for this time.
     StoreLink(usize, LinkMode, Duration),
-    /// An upstream names a limit of so many requests a second, for the time.
+    /// An upstream announces a limit in requests per second for this time.
     Limit(usize, u32, Duration),
-    /// An upstream says that it leaves, and is gone later.
+    /// An upstream's entry is marked as draining, and the upstream is replaced later.
     Drain(usize),
-    /// The same, but it says so in its answers alone.
+    /// An upstream announces only in its answers that it is leaving, and is replaced later.
     DrainByAnswers(usize),
-    /// The store comes back from a copy that is as old as given.
+    /// The store is restored from a copy of this age.
     Restore(Duration),
-    /// An upstream is gone, and another one has its address.
+    /// Another upstream takes over the address of an upstream that is gone.
     ReplaceUpstream(usize),
-    /// An upstream ends and starts again under its identity, holding nothing.
+    /// An upstream restarts under its identity and loses the results that it held.
     RestartUpstream(usize),
-    /// A request that ends each upstream which runs it comes again and again, for the
-    /// time.
+    /// A request that crashes every upstream which executes it is sent repeatedly for
+    /// this time.
     CrashingRequest(u64, Duration),
-    /// The operator puts the next configuration in force.
+    /// The operator writes the next version of the configuration.
     Configure,
-    /// The operator takes a credential away.
+    /// The operator revokes a credential.
     Revoke,
-    /// The same while an instance is cut off from the store, for longer than a
-    /// credential may work afterwards.
+    /// The operator revokes a credential while an instance cannot reach the store, for
+    /// longer than a revoked credential may still work.
     RevokeDuringPartition(usize),
 }
 
 impl Fault {
-    /// True if it may cut no request short: ordinary work, or a bound that has to be kept.
+    /// True if the fault must not cut any request short: routine maintenance, or a limit
+    /// that instances have to keep.
     pub fn is_planned(&self) -> bool {
         matches!(
             self,
--- a/soak/src/fleet.rs
+++ b/soak/src/fleet.rs
@@ -1,28 +1,28 @@
-//! The processes of a soak, as it sees them.
+//! Control of the gateway processes of a soak.
 
-/// What a process can be told from outside.
+/// A signal to a gateway process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProcessSignal {
-    /// Ends it at once.
+    /// Terminates the process at once.
     Kill,
-    /// Asks it to stop.
+    /// Requests a graceful stop.
     Stop,
-    /// Lets it stand still.
+    /// Suspends the process.
     Pause,
-    /// Lets it go on.
+    /// Resumes a suspended process.
     Resume,
-    /// Tells it that its settings changed.
+    /// Requests a reload of the settings.
     Reload,
 }
 
-/// The processes of a soak. Only those that it started are ever signalled.
+/// The gateway processes of a soak. Only processes that the fleet started are signalled.
 pub trait Fleet: Send + Sync {
-    /// Starts instance `place` with these settings.
-    fn start(&self, place: usize, settings: &str);
+    /// Starts an instance with these settings.
+    fn start(&self, instance: usize, settings: &str);
 
-    /// Signals instance `place`, if it runs.
-    fn signal(&self, place: usize, signal: ProcessSignal);
+    /// Signals an instance if it is running.
+    fn signal(&self, instance: usize, signal: ProcessSignal);
 
-    /// True if instance `place` runs.
-    fn is_running(&self, place: usize) -> bool;
+    /// True if an instance is running.
+    fn is_running(&self, instance: usize) -> bool;
 }
--- a/soak/src/judge.rs
+++ b/soak/src/judge.rs
@@ -1,4 +1,4 @@
-//! Which promises were broken, from what callers and upstreams saw.
+//! Checks of the recorded attempts and requests for violated guarantees.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -14,45 +14,46 @@
 use crate::Recorder;
 use crate::RequestKind;
 use crate::UpstreamRequest;
-use crate::bad_requests;
 use crate::fake_upstream;
 use crate::limits;
 use crate::notices;
+use crate::quarantine;
 
-/// Within which a credential that was taken away works nowhere: the users' bound.
+/// The time from a revocation until the credential is refused everywhere: the users' bound.
 const REVOKED_WITHIN: Duration = Duration::from_millis(5_000);
-/// Within which nothing new reaches an upstream that leaves: twice the users'
-/// bound, since all processes share one machine here.
+/// The time after which no new request may reach a draining upstream: twice the users'
+/// bound, because all processes of a soak share one machine.
 const DRAINED_WITHIN: Duration = Duration::from_millis(4_000);
-/// How long before that nothing else may have been wrong for it to count.
-const CALM_BEFORE: Duration = Duration::from_millis(4_000);
-/// How long after a version's effect was seen an older one may still show: what
-/// was sent before may be answered later. The users' bound.
-const BACK_WITHIN: Duration = Duration::from_millis(250);
-/// The users' bound on repeats at a service.
-const REPEAT_RATIO: f64 = 0.2;
-/// Repeats beyond that; the instances of a soak are told the same.
-const REPEAT_SLACK: f64 = 50.0;
-/// The span over which repeats are counted.
-const REPEAT_WINDOW: Duration = Duration::from_secs(10);
-/// Upstreams that a request that may be repeated may run on.
-const MOST_RUNS: usize = 2;
-/// Requests beyond that which are let pass, as the users do.
-const MORE_RUNS_PASSED: usize = 3;
-/// Seven tenths of the time that callers wait: beyond it the users' rules excuse
-/// an answer that ends early.
-const USED_UP: Duration = Duration::from_millis(2_100);
-/// From the last fault until what is sent counts for the recovery.
-const RECOVERED_AFTER: Duration = Duration::from_millis(2_500);
-/// Fewer requests than that say nothing of a recovery.
-const RECOVERY_SAMPLE: usize = 20;
+/// Requests to a draining upstream count as late only if no unplanned fault was active
+/// within this time before the drain or during it.
+const SETTLE_TIME: Duration = Duration::from_millis(4_000);
+/// The time for which an older configuration version may still take effect after a newer
+/// one did, because requests that were sent earlier may be answered later. The users' bound.
+const REORDER_GRACE: Duration = Duration::from_millis(250);
+/// The users' bound on the ratio of retries to requests of a service.
+const RETRY_RATIO: f64 = 0.2;
+/// Retries beyond the ratio that are allowed, as in the settings of the instances.
+const RETRY_SLACK: f64 = 50.0;
+/// The window over which retries are counted.
+const RETRY_WINDOW: Duration = Duration::from_secs(10);
+/// Executions that a request which may be retried is allowed.
+const MAX_EXECUTIONS: usize = 2;
+/// Requests with more executions that are tolerated, as the users do.
+const EXCESS_TOLERATED: usize = 3;
+/// Seven tenths of the callers' deadline. For requests that took longer, the users' rules
+/// excuse an answer that ends early.
+const DEADLINE_MOSTLY_USED: Duration = Duration::from_millis(2_100);
+/// The time after the last fault from which requests count for the recovery.
+const RECOVERY_GRACE: Duration = Duration::from_millis(2_500);
+/// The fewest requests from which the recovery is judged.
+const MIN_RECOVERY_SAMPLE: usize = 20;
 
-/// A promise that was broken.
+/// A violation of a guarantee.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Violation {
-    /// Which.
+    /// The violated guarantee.
     pub guarantee: &'static str,
-    /// By what, with the identity of the request if it is one.
+    /// The violating event, with the identity of the request if there is one.
     pub detail: String,
 }
 
@@ -62,79 +63,54 @@
     }
 }
 
-/// What was seen, laid out for the checks.
-struct Seen<'a> {
+/// The recorded events, with an index for the checks.
+struct Events<'a> {
     attempts: &'a [Attempt],
-    runs: &'a [UpstreamRequest],
+    requests: &'a [UpstreamRequest],
     spans: &'a [FaultSpan],
-    /// How often each request ran.
-    ran: HashMap<&'a str, usize>,
+    /// The number of executions of each request.
+    executions: HashMap<&'a str, usize>,
 }
 
-/// The promises that were broken; faults ended at `calm`.
+/// Returns the violated guarantees. `calm` is the time at which the faults ended.
 pub fn judge(recorder: &Recorder, calm: Duration) -> Vec<Violation> {
     let attempts = lock(&recorder.attempts);
-    let runs = lock(&recorder.upstream_requests);
+    let requests = lock(&recorder.upstream_requests);
     let spans = lock(&recorder.spans);
-    let mut ran: HashMap<&str, usize> = HashMap::new();
-    for run in runs.iter().filter(|r| r.executed) {
-        *ran.entry(run.id.as_str()).or_default() += 1;
+    let mut executions: HashMap<&str, usize> = HashMap::new();
+    for request in requests.iter().filter(|r| r.executed) {
+        *executions.entry(request.id.as_str()).or_default() += 1;
     }
-    let seen = Seen {
+    let events = Events {
         attempts: &attempts,
-        runs: &runs,
+        requests: &requests,
         spans: &spans,
-        ran,
+        executions,
     };
-    let mut broken = Vec::new();
-    seen.own_whole_answers(&mut broken);
-    seen.at_most_once(&mut broken);
-    seen.truthful_refusals(&mut broken);
-    seen.only_what_was_asked(&mut broken);
-    seen.credentials_end(&mut broken);
-    seen.never_back(&mut broken);
-    seen.drained(&mut broken);
-    seen.repeats_bounded(&mut broken);
-    seen.planned_work_cuts_nothing(&mut broken);
-    seen.recovered(calm, &mut broken);
-    seen.newest_in_force(calm, &mut broken);
-    broken.extend(bad_requests::judge(&attempts, &runs, &spans));
-    broken.extend(limits::judge(&runs, &spans));
-    broken.extend(notices::judge(&attempts, &runs, &spans));
-    broken
+    let mut violations = Vec::new();
+    events.responses_match(&mut violations);
+    events.at_most_once(&mut violations);
+    events.refusals_not_executed(&mut violations);
+    events.only_callers_requests(&mut violations);
+    events.revocations_enforced(&mut violations);
+    events.versions_monotonic(&mut violations);
+    events.drains_respected(&mut violations);
+    events.retries_bounded(&mut violations);
+    events.planned_faults_cut_nothing(&mut violations);
+    events.recovered(calm, &mut violations);
+    events.newest_in_force(calm, &mut violations);
+    violations.extend(quarantine::judge(&attempts, &requests, &spans));
+    violations.extend(limits::judge(&requests, &spans));
+    violations.extend(notices::judge(&attempts, &requests, &spans));
+    violations
 }
 
-impl Attempt {
-    fn may_repeat(&self) -> bool {
-        matches!(
-            self.kind,
-            RequestKind::Idempotent
-                | RequestKind::ResumableStream
-                | RequestKind::ConfigProbe(_)
-                | RequestKind::Hot
-                | RequestKind::Crashing(_)
-        )
+impl Events<'_> {
+    fn executions(&self, id: &str) -> usize {
+        self.executions.get(id).copied().unwrap_or(0)
     }
 
-    /// True if it was answered whole and with success.
-    pub fn is_served(&self) -> bool {
-        matches!(
-            &self.outcome,
-            Outcome::Response {
-                status: 200..300,
-                complete: true,
-                ..
-            }
-        )
-    }
-}
-
-impl Seen<'_> {
-    fn ran(&self, id: &str) -> usize {
-        self.ran.get(id).copied().unwrap_or(0)
-    }
-
-    fn own_whole_answers(&self, broken: &mut Vec<Violation>) {
+    fn responses_match(&self, violations: &mut Vec<Violation>) {
         let judged = self.attempts.iter();
         for a in judged.filter(|a| !matches!(a.kind, RequestKind::Crashing(_))) {
             let Outcome::Response {
@@ -156,47 +132,52 @@
                 _ => fake_upstream::plain_answer(&a.id),
             };
             let wrong = match (*status, *complete) {
-                (200..300, _) if !own => Some("success that no upstream vouches for"),
+                (200..300, _) if !own => Some("success without the signature of an upstream"),
                 (200..300, true) if *body != expected => Some("success with another body"),
                 (200..300, false) if !expected.starts_with(body.as_str()) => {
-                    Some("cut success with another body")
+                    Some("truncated success with another body")
+                }
+                (500, _) if signature.is_some() && !own => {
+                    Some("failure with the signature of another request")
                 }
-                (500, _) if signature.is_some() && !own => Some("another's failure"),
                 (status, _) if status != 500 && status >= 300 && signature.is_some() => {
-                    Some("a failure of its own with an upstream's signature")
+                    Some("refusal by an instance with the signature of an upstream")
                 }
                 _ => None,
             };
             if let Some(wrong) = wrong {
-                broken.push(Violation {
-                    guarantee: "own whole answers",
+                violations.push(Violation {
+                    guarantee: "responses are complete and belong to their requests",
                     detail: format!("{} {:?}: {wrong}: {status} {body:?}", a.id, a.kind),
                 });
             }
         }
     }
 
-    fn at_most_once(&self, broken: &mut Vec<Violation>) {
+    fn at_most_once(&self, violations: &mut Vec<Violation>) {
         for a in self.attempts {
-            let most = if a.may_repeat() { usize::MAX } else { 1 };
-            if self.ran(&a.id) > most {
-                broken.push(Violation {
+            let most = if a.may_retry() { usize::MAX } else { 1 };
+            if self.executions(&a.id) > most {
+                violations.push(Violation {
                     guarantee: "at most once",
-                    detail: format!("{} ran {} times", a.id, self.ran(&a.id)),
+                    detail: format!("{} was executed {} times", a.id, self.executions(&a.id)),
                 });
             }
         }
-        let more = self.attempts.iter().filter(|a| self.ran(&a.id) > MOST_RUNS);
+        let more = self
+            .attempts
+            .iter()
+            .filter(|a| self.executions(&a.id) > MAX_EXECUTIONS);
         let more: Vec<&str> = more.map(|a| a.id.as_str()).collect();
-        if more.len() > MORE_RUNS_PASSED {
-            broken.push(Violation {
-                guarantee: "bounded repeats",
-                detail: format!("{more:?} ran more than {MOST_RUNS} times"),
+        if more.len() > EXCESS_TOLERATED {
+            violations.push(Violation {
+                guarantee: "bounded retries",
+                detail: format!("{more:?} were executed more than {MAX_EXECUTIONS} times"),
             });
         }
     }
 
-    fn truthful_refusals(&self, broken: &mut Vec<Violation>) {
+    fn refusals_not_executed(&self, violations: &mut Vec<Violation>) {
         for a in self.attempts {
             let refused = matches!(
                 a.outcome,
@@ -205,32 +186,32 @@
                     ..
                 }
             );
-            if refused && !a.may_repeat() && self.ran(&a.id) > 0 {
-                broken.push(Violation {
-                    guarantee: "truthful refusals",
-                    detail: format!("{} was refused as not run, and ran", a.id),
+            if refused && !a.may_retry() && self.executions(&a.id) > 0 {
+                violations.push(Violation {
+                    guarantee: "refused requests are not executed",
+                    detail: format!("{} was refused as not executed, but was executed", a.id),
                 });
             }
         }
     }
 
-    fn only_what_was_asked(&self, broken: &mut Vec<Violation>) {
+    fn only_callers_requests(&self, violations: &mut Vec<Violation>) {
         let asked: HashSet<&str> = self.attempts.iter().map(|a| a.id.as_str()).collect();
-        for run in self.runs {
-            let fault = match run.fault {
-                None if !asked.contains(run.id.as_str()) => Some("nobody asked for it"),
+        for request in self.requests {
+            let fault = match request.fault {
+                None if !asked.contains(request.id.as_str()) => Some("was not sent by any caller"),
                 fault => fault,
             };
             if let Some(fault) = fault {
-                broken.push(Violation {
-                    guarantee: "only what was asked",
-                    detail: format!("{} at {}: {fault}", run.id, run.upstream),
+                violations.push(Violation {
+                    guarantee: "upstreams receive only well-formed requests of callers",
+                    detail: format!("{} at {}: {fault}", request.id, request.upstream),
                 });
             }
         }
     }
 
-    fn credentials_end(&self, broken: &mut Vec<Violation>) {
+    fn revocations_enforced(&self, violations: &mut Vec<Violation>) {
         let revoked = |s: &&FaultSpan| s.fault == Fault::Revoke && !s.target.is_empty();
         for span in self.spans.iter().filter(revoked) {
             let late = self
@@ -238,11 +219,11 @@
                 .iter()
                 .filter(|a| !matches!(a.kind, RequestKind::ConfigProbe(_)))
                 .filter(|a| a.key == span.target && a.sent > span.to + REVOKED_WITHIN);
-            for a in late.filter(|a| self.ran(&a.id) > 0) {
-                broken.push(Violation {
-                    guarantee: "credentials end",
+            for a in late.filter(|a| self.executions(&a.id) > 0) {
+                violations.push(Violation {
+                    guarantee: "revoked credentials are refused",
                     detail: format!(
-                        "{} ran with {} sent {:?} after that was taken away",
+                        "{} was executed with {} although sent {:?} after its revocation",
                         a.id,
                         a.key,
                         a.sent.saturating_sub(span.to)
@@ -252,7 +233,7 @@
         }
     }
 
-    fn never_back(&self, broken: &mut Vec<Violation>) {
+    fn versions_monotonic(&self, violations: &mut Vec<Violation>) {
         let probes: Vec<(&Attempt, u64)> = self
             .attempts
             .iter()
@@ -265,13 +246,13 @@
         for (newer, newest) in &probes {
             let back = probes.iter().find(|(older, version)| {
                 let same = older.instance == newer.instance;
-                same && version < newest && older.sent > newer.ended + BACK_WITHIN
+                same && version < newest && older.sent > newer.ended + REORDER_GRACE
             });
             if let Some((older, version)) = back {
-                broken.push(Violation {
-                    guarantee: "never back",
+                violations.push(Violation {
+                    guarantee: "configuration versions never go backwards",
                     detail: format!(
-                        "instance {:?} served version {newest} at {:?} and {version} to {}",
+                        "{:?} served version {newest} at {:?} and later {version} to {}",
                         newer.instance, newer.ended, older.id
                     ),
                 });
@@ -279,7 +260,7 @@
         }
     }
 
-    fn drained(&self, broken: &mut Vec<Violation>) {
+    fn drains_respected(&self, violations: &mut Vec<Violation>) {
         for span in self
             .spans
             .iter()
@@ -287,25 +268,25 @@
         {
             let due = span.from + DRAINED_WITHIN;
             let late = self
-                .runs
+                .requests
                 .iter()
                 .find(|r| r.executed && r.upstream == span.target && r.at > due);
             let Some(late) = late else {
                 continue;
             };
             let disturbed = self.spans.iter().any(|s| {
-                !s.fault.is_planned() && s.from < late.at && s.to + CALM_BEFORE > span.from
+                !s.fault.is_planned() && s.from < late.at && s.to + SETTLE_TIME > span.from
             });
             if !disturbed {
-                broken.push(Violation {
-                    guarantee: "leaving upstreams rest",
+                violations.push(Violation {
+                    guarantee: "draining upstreams receive no new requests",
                     detail: format!("{} reached {} at {:?}", late.id, late.upstream, late.at),
                 });
             }
         }
     }
 
-    fn repeats_bounded(&self, broken: &mut Vec<Violation>) {
+    fn retries_bounded(&self, violations: &mut Vec<Violation>) {
         let is_stream =
             |kind: RequestKind| matches!(kind, RequestKind::ResumableStream | RequestKind::Stream);
         let kinds: HashMap<&str, RequestKind> = self
@@ -315,27 +296,29 @@
             .collect();
         for streams in [false, true] {
             let mut known: HashSet<&str> = HashSet::new();
-            let of_service = |id: &str| kinds.get(id).is_some_and(|k| is_stream(*k) == streams);
-            let repeats: Vec<Duration> = self
-                .runs
+            let is_of_service = |id: &str| kinds.get(id).is_some_and(|k| is_stream(*k) == streams);
+            let retries: Vec<Duration> = self
+                .requests
                 .iter()
-                .filter(|r| of_service(&r.id))
+                .filter(|r| is_of_service(&r.id))
                 .filter(|r| !known.insert(r.id.as_str()))
                 .map(|r| r.at)
                 .collect();
-            for end in &repeats {
-                let within = |at: &Duration| at <= end && *at + REPEAT_WINDOW > *end;
+            for end in &retries {
+                let within = |at: &Duration| at <= end && *at + RETRY_WINDOW > *end;
                 let asked = self
                     .attempts
                     .iter()
                     .filter(|a| is_stream(a.kind) == streams)
-                    .filter(|a| within(&a.sent) || within(&(a.sent + REPEAT_WINDOW)));
-                let bound = asked.count() as f64 * REPEAT_RATIO + REPEAT_SLACK;
-                let count = repeats.iter().filter(|at| within(at)).count();
+                    .filter(|a| within(&a.sent) || within(&(a.sent + RETRY_WINDOW)));
+                let bound = asked.count() as f64 * RETRY_RATIO + RETRY_SLACK;
+                let count = retries.iter().filter(|at| within(at)).count();
                 if count as f64 > bound {
-                    broken.push(Violation {
-                        guarantee: "bounded repeats",
-                        detail: format!("{count} repeats until {end:?}, more than {bound}"),
+                    violations.push(Violation {
+                        guarantee: "bounded retries",
+                        detail: format!(
+                            "{count} retries in the window until {end:?}, more than {bound}"
+                        ),
                     });
                     break;
                 }
@@ -343,50 +326,53 @@
         }
     }
 
-    /// Where all faults were planned work no request that was passed on may be
-    /// cut. One that crosses the close of its connection was not passed on, and
-    /// one that has used most of its time may have been ended by that.
-    fn planned_work_cuts_nothing(&self, broken: &mut Vec<Violation>) {
+    /// If all faults were planned, no forwarded request may be cut off. A request that
+    /// arrives while its connection is being closed was not forwarded, and a request that
+    /// used most of its deadline may have ended because of that.
+    fn planned_faults_cut_nothing(&self, violations: &mut Vec<Violation>) {
         if !self.spans.iter().all(|s| s.fault.is_planned()) {
             return;
         }
-        let used_up = |a: &&Attempt| a.ended.saturating_sub(a.sent) >= USED_UP;
-        for a in self.attempts.iter().filter(|a| !used_up(a)) {
+        let mostly_used = |a: &&Attempt| a.ended.saturating_sub(a.sent) >= DEADLINE_MOSTLY_USED;
+        for a in self.attempts.iter().filter(|a| !mostly_used(a)) {
             let cut = match a.outcome {
                 Outcome::Response { complete, .. } => !complete,
-                Outcome::ConnectionLost | Outcome::TimedOut => self.ran(&a.id) > 0,
+                Outcome::ConnectionLost | Outcome::TimedOut => self.executions(&a.id) > 0,
                 Outcome::NotSent => false,
             };
             if cut {
-                broken.push(Violation {
-                    guarantee: "planned work cuts nothing",
+                violations.push(Violation {
+                    guarantee: "planned faults cut no request off",
                     detail: format!("{} {:?} at {:?}: {:?}", a.id, a.kind, a.sent, a.outcome),
                 });
             }
         }
     }
 
-    /// Once the faults are over every instance serves by the newest version.
-    fn newest_in_force(&self, calm: Duration, broken: &mut Vec<Violation>) {
+    /// After the faults, every instance serves by the newest configuration version.
+    fn newest_in_force(&self, calm: Duration, violations: &mut Vec<Violation>) {
         let version = |a: &Attempt| match a.kind {
             RequestKind::ConfigProbe(version) => Some(version),
             _ => None,
         };
         let newest = self.attempts.iter().filter_map(version).max();
         let probes = self.attempts.iter().filter(|a| version(a) == newest);
-        let late = probes.filter(|a| a.sent > calm + RECOVERED_AFTER);
+        let late = probes.filter(|a| a.sent > calm + RECOVERY_GRACE);
         let unknown = |a: &&Attempt| matches!(a.outcome, Outcome::Response { status: 404, .. });
         for a in late.filter(|a| newest.is_some() && unknown(a)) {
-            broken.push(Violation {
-                guarantee: "changes are in force",
-                detail: format!("{} asked {:?} for {newest:?}", a.id, a.instance),
+            violations.push(Violation {
+                guarantee: "the newest configuration is in force",
+                detail: format!(
+                    "{} sent to instance {:?} found no route of version {newest:?}",
+                    a.id, a.instance
+                ),
             });
         }
     }
 
-    fn recovered(&self, calm: Duration, broken: &mut Vec<Violation>) {
+    fn recovered(&self, calm: Duration, violations: &mut Vec<Violation>) {
         let counted = |a: &&Attempt| {
-            a.sent > calm + RECOVERED_AFTER
+            a.sent > calm + RECOVERY_GRACE
                 && a.key == crate::config::KEYS[0]
                 && !matches!(
                     a.kind,
@@ -395,16 +381,19 @@
         };
         let after: Vec<&Attempt> = self.attempts.iter().filter(counted).collect();
         let served = after.iter().filter(|a| a.is_served()).count();
-        if after.len() >= RECOVERY_SAMPLE && served * 4 < after.len() {
-            broken.push(Violation {
+        if after.len() >= MIN_RECOVERY_SAMPLE && served * 4 < after.len() {
+            violations.push(Violation {
                 guarantee: "recovery",
-                detail: format!("{served} of {} were served after the faults", after.len()),
+                detail: format!(
+                    "only {served} of {} requests were served after the faults",
+                    after.len()
+                ),
             });
         }
         if !self.attempts.iter().any(Attempt::is_served) {
-            broken.push(Violation {
+            violations.push(Violation {
                 guarantee: "recovery",
-                detail: "nothing was served at all".into(),
+                detail: "no request was served during the soak".into(),
             });
         }
     }
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -1,15 +1,15 @@
-//! Soaking real gateway processes: stand-ins of the store, the upstreams and the
-//! callers, faults between them, and checks of what callers and upstreams saw.
+//! Soak tests of real gateway processes with fake stores, upstreams and callers,
+//! fault injection, and checks of what callers and upstreams recorded.
 //!
-//! Whoever runs a soak owns the processes, behind [`Fleet`]. Everything else is
-//! here: [`Plan`] draws the faults of a seed, [`soak`] plays it, and
-//! [`judge`] tells which promises were broken.
+//! The caller of [`soak`] owns the gateway processes and controls them through
+//! [`Fleet`]. [`Plan`] draws the faults of a seed, [`soak`] injects them, and
+//! [`judge`] reports the violated guarantees.
 
-mod bad_requests;
 mod caller;
 mod config;
 mod environment;
 mod fake_stage_upstream;
+mod fake_store;
 mod fake_upstream;
 mod fault;
 mod fleet;
@@ -17,11 +17,11 @@
 mod limits;
 mod notices;
 mod plan;
+mod quarantine;
 mod recorder;
 mod relay;
 mod run;
 mod store;
-mod store_api;
 
 pub use fault::Fault;
 pub use fault::LinkMode;
--- a/soak/src/limits.rs
+++ b/soak/src/limits.rs
@@ -1,4 +1,4 @@
-//! Whether upstreams that name a limit got no more than that.
+//! Checks that instances keep the rate limits of upstreams.
 
 use std::time::Duration;
 
@@ -7,47 +7,52 @@
 use crate::UpstreamRequest;
 use crate::Violation;
 
-/// Within which all instances know of a limit: the users' bound for news.
-const KNOWN_WITHIN: Duration = Duration::from_millis(3_000);
-/// The span over which arrivals are counted, as the users do.
-const COUNTED_OVER: Duration = Duration::from_millis(4_000);
-/// How far above a limit arrivals may be, as a factor and beyond it.
-const OVERRUN: f64 = 1.5;
+/// The time within which all instances know a limit: the users' bound on the
+/// propagation of changes.
+const PROPAGATION_BOUND: Duration = Duration::from_millis(3_000);
+/// The window over which arrivals are counted, as the users do.
+const COUNT_WINDOW: Duration = Duration::from_millis(4_000);
+/// Arrivals in a window may reach the limit times this factor, plus [`SLACK`].
+const OVERRUN_FACTOR: f64 = 1.5;
+/// Arrivals in a window that are allowed beyond the limit times [`OVERRUN_FACTOR`].
 const SLACK: f64 = 5.0;
 
-/// The promises on limits of upstreams that were broken.
-pub(crate) fn judge(runs: &[UpstreamRequest], spans: &[FaultSpan]) -> Vec<Violation> {
+/// Violations of the rate limits of upstreams.
+pub(crate) fn judge(requests: &[UpstreamRequest], spans: &[FaultSpan]) -> Vec<Violation> {
     let limited = spans.iter().filter_map(|s| match s.fault {
         Fault::Limit(_, per_s, _) => Some((s, f64::from(per_s))),
         _ => None,
     });
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     for (span, per_s) in limited {
-        let known = span.from + KNOWN_WITHIN;
-        let is_known = |at: Duration| at > known && at < span.to && !all_are_new(at, spans);
+        let known = span.from + PROPAGATION_BOUND;
+        let is_known = |at: Duration| at > known && at < span.to && !all_restarted(at, spans);
         let counted = |r: &&UpstreamRequest| r.upstream == span.target && is_known(r.at);
-        let at: Vec<Duration> = runs.iter().filter(counted).map(|r| r.at).collect();
+        let at: Vec<Duration> = requests.iter().filter(counted).map(|r| r.at).collect();
         let within = at.iter().map(|end| {
-            let from = end.saturating_sub(COUNTED_OVER);
+            let from = end.saturating_sub(COUNT_WINDOW);
             at.iter().filter(|a| **a > from && **a <= *end).count()
         });
         let most = within.max().unwrap_or(0);
-        if most as f64 > per_s * COUNTED_OVER.as_secs_f64() * OVERRUN + SLACK {
-            broken.push(Violation {
-                guarantee: "limits of upstreams are kept",
-                detail: format!("{} named {per_s} a second and got {most}", span.target),
+        if most as f64 > per_s * COUNT_WINDOW.as_secs_f64() * OVERRUN_FACTOR + SLACK {
+            violations.push(Violation {
+                guarantee: "rate limits of upstreams are kept",
+                detail: format!(
+                    "{} announced {per_s} requests/s and received {most} in a window",
+                    span.target
+                ),
             });
         }
     }
-    broken
+    violations
 }
 
-/// True if all instances have started anew shortly before, so that none has been told of
-/// anything yet: no upstream has told those, and they cannot tell each other.
-fn all_are_new(at: Duration, spans: &[FaultSpan]) -> bool {
+/// True if all instances restarted shortly before, so that none of them may know a limit
+/// yet: no upstream has announced one to them, and they have none to pass on.
+fn all_restarted(at: Duration, spans: &[FaultSpan]) -> bool {
     let killed = spans
         .iter()
         .filter(|s| matches!(s.fault, Fault::KillAll(_)));
-    let mut new = killed.filter(|s| s.from < at && at < s.to + KNOWN_WITHIN);
-    new.next().is_some()
+    let mut restarted = killed.filter(|s| s.from < at && at < s.to + PROPAGATION_BOUND);
+    restarted.next().is_some()
 }
--- a/soak/src/notices.rs
+++ b/soak/src/notices.rs
@@ -1,4 +1,4 @@
-//! Whether instances heeded what upstreams said in their answers.
+//! Checks that instances respect the notices in upstreams' answers.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -9,67 +9,81 @@
 use crate::UpstreamRequest;
 use crate::Violation;
 
-/// How much later nothing new may reach an upstream that has said so: the users' bound.
+/// The time after which an instance must send no new request to an upstream that has
+/// announced that it is leaving: the users' bound.
 const DRAINED_WITHIN: Duration = Duration::from_millis(2_000);
-/// How long what is on its way may still reach one that wants nothing: the users' bound.
-const ON_ITS_WAY: Duration = Duration::from_millis(500);
-/// Requests in that time which are let pass, as the users do.
-const PASSED: usize = 2;
+/// The time for which requests in flight may still reach an upstream that asked for a
+/// backoff: the users' bound.
+const IN_FLIGHT_GRACE: Duration = Duration::from_millis(500);
+/// Requests during a backoff that are tolerated, as the users do.
+const TOLERATED: usize = 2;
 
-/// A request that reached an upstream, and who had sent it there.
+/// A request at an upstream, and the caller's attempt that it belongs to.
 struct Arrival<'a> {
-    run: &'a UpstreamRequest,
+    request: &'a UpstreamRequest,
     attempt: &'a Attempt,
 }
 
-/// The promises on notices of upstreams that were broken.
+/// Violations of the notices of upstreams.
 pub(crate) fn judge(
     attempts: &[Attempt],
-    runs: &[UpstreamRequest],
+    requests: &[UpstreamRequest],
     spans: &[FaultSpan],
 ) -> Vec<Violation> {
     let by_id: HashMap<&str, &Attempt> = attempts.iter().map(|a| (a.id.as_str(), a)).collect();
-    let arrivals = runs.iter().filter_map(|run| {
-        let attempt = *by_id.get(run.id.as_str())?;
-        Some(Arrival { run, attempt })
+    let arrivals = requests.iter().filter_map(|request| {
+        let attempt = *by_id.get(request.id.as_str())?;
+        Some(Arrival { request, attempt })
     });
     let arrivals: Vec<Arrival> = arrivals.collect();
-    let mut broken = Vec::new();
-    for told in &arrivals {
-        let after = arrivals.iter().filter(|a| is_same_way(told, a));
-        let calm = |a: &&Arrival| !stood_still(told.run.at, a.run.at, spans);
-        let after = after.filter(calm);
-        let due = told.run.at + DRAINED_WITHIN;
-        if told.run.notice.leaving
+    let mut violations = Vec::new();
+    for notified in &arrivals {
+        let after = arrivals.iter().filter(|a| is_same_path(notified, a));
+        let undisturbed = |a: &&Arrival| !was_paused(notified.request.at, a.request.at, spans);
+        let after = after.filter(undisturbed);
+        let due = notified.request.at + DRAINED_WITHIN;
+        if notified.request.notice.leaving
             && let Some(late) = after.clone().find(|a| a.attempt.sent > due)
         {
-            broken.push(Violation {
-                guarantee: "upstreams that say they leave rest",
-                detail: format!("{} reached {}", late.run.id, late.run.upstream),
+            violations.push(Violation {
+                guarantee: "no new requests after a leaving notice",
+                detail: format!(
+                    "{} reached {} after its leaving notice",
+                    late.request.id, late.request.upstream
+                ),
             });
         }
-        if let Some(wait) = told.run.notice.backoff {
-            let (from, to) = (told.run.at + ON_ITS_WAY, told.run.at + wait);
-            let count = after.filter(|a| a.run.at > from && a.run.at < to).count();
-            if count > PASSED {
-                broken.push(Violation {
-                    guarantee: "upstreams that want rest have it",
-                    detail: format!("{} wanted {wait:?} and got {count}", told.run.upstream),
+        if let Some(wait) = notified.request.notice.backoff {
+            let (from, to) = (
+                notified.request.at + IN_FLIGHT_GRACE,
+                notified.request.at + wait,
+            );
+            let count = after
+                .filter(|a| a.request.at > from && a.request.at < to)
+                .count();
+            if count > TOLERATED {
+                violations.push(Violation {
+                    guarantee: "backoffs of upstreams are respected",
+                    detail: format!(
+                        "{} asked for a backoff of {wait:?} and received {count} requests",
+                        notified.request.upstream
+                    ),
                 });
             }
         }
     }
-    broken
+    violations
 }
 
-/// True if the same start of an instance sent both to the same upstream.
-fn is_same_way(told: &Arrival, other: &Arrival) -> bool {
-    let same_upstream = told.run.upstream == other.run.upstream;
-    same_upstream && told.attempt.instance == other.attempt.instance
+/// True if the same start of an instance sent both requests to the same upstream.
+fn is_same_path(notified: &Arrival, other: &Arrival) -> bool {
+    let same_upstream = notified.request.upstream == other.request.upstream;
+    same_upstream && notified.attempt.instance == other.attempt.instance
 }
 
-/// True if an instance may have stood still in between, which excuses it.
-fn stood_still(from: Duration, to: Duration, spans: &[FaultSpan]) -> bool {
+/// True if an instance may have been suspended between the two times, which excuses late
+/// requests.
+fn was_paused(from: Duration, to: Duration, spans: &[FaultSpan]) -> bool {
     let mut pauses = spans.iter().filter(|s| matches!(s.fault, Fault::Pause(..)));
     pauses.any(|s| s.from < to && s.to > from)
 }
--- a/soak/src/plan.rs
+++ b/soak/src/plan.rs
@@ -1,4 +1,4 @@
-//! The faults of a seed.
+//! The randomly drawn faults of a seed.
 
 use std::time::Duration;
 
@@ -7,44 +7,47 @@
 use crate::StoreMode;
 use crate::UpstreamMode;
 
-/// From the first fault to the last. Several overlap in it.
-const FAULTS_LAST: Duration = Duration::from_millis(7_000);
-/// Until instances and callers are there.
-const LEAD: Duration = Duration::from_millis(1_000);
-/// The fewest faults of a seed.
-const LEAST_FAULTS: usize = 7;
-/// The most.
-const MOST_FAULTS: usize = 14;
-/// From this seed on a plan may also kill all instances at once. Those of the earlier
-/// ones stay as they were when they were played.
-const KILLS_ALL_FROM: u64 = 1_000;
-/// From this seed on upstreams start again as well. Earlier seeds keep their plans.
-const STARTS_AGAIN_FROM: u64 = 2_000;
-/// From this seed on requests come that end upstreams, and a hot one. Earlier seeds keep
-/// their plans.
-const BAD_FROM: u64 = 3_000;
-/// From this seed on upstreams name limits. Earlier seeds keep their plans.
-const LIMITS_FROM: u64 = 4_000;
-/// From this seed on upstreams say in their answers that they leave or want nothing for a
-/// while, and the store comes back from a copy. Earlier seeds keep their plans.
-const NOTICES_FROM: u64 = 5_000;
-/// How long one names a limit: beyond most other faults.
-const LIMIT_LASTS: Duration = Duration::from_millis(9_000);
-/// How long such a request comes again: beyond the last other fault.
-const BAD_LASTS: Duration = Duration::from_millis(10_000);
-/// Every so many seeds bring planned work only, which may cut nothing short.
+/// The period in which the faults begin; several of them overlap.
+const FAULT_PERIOD: Duration = Duration::from_millis(7_000);
+/// The delay before the first fault, in which instances and callers warm up.
+const WARMUP: Duration = Duration::from_millis(1_000);
+/// The fewest randomly drawn faults of a plan.
+const MIN_FAULTS: usize = 7;
+/// The most randomly drawn faults of a plan.
+const MAX_FAULTS: usize = 14;
+/// Plans from this seed on also kill all instances at once. The plans of earlier seeds
+/// stay as they were when those seeds were run.
+const KILL_ALL_FROM_SEED: u64 = 1_000;
+/// Plans from this seed on also restart upstreams. Earlier seeds keep their plans.
+const RESTARTS_FROM_SEED: u64 = 2_000;
+/// Plans from this seed on include requests that crash upstreams, and a hot request.
+/// Earlier seeds keep their plans.
+const CRASHES_FROM_SEED: u64 = 3_000;
+/// Plans from this seed on have upstreams announce rate limits. Earlier seeds keep their
+/// plans.
+const LIMITS_FROM_SEED: u64 = 4_000;
+/// Plans from this seed on have upstreams announce in their answers that they are leaving
+/// or ask for a backoff, and restore the store from a copy. Earlier seeds keep their plans.
+const NOTICES_FROM_SEED: u64 = 5_000;
+/// The duration of an announced limit, which outlasts most other faults.
+const LIMIT_DURATION: Duration = Duration::from_millis(9_000);
+/// The time for which a crashing request is sent repeatedly: until after the last other
+/// fault.
+const CRASHES_DURATION: Duration = Duration::from_millis(10_000);
+/// Every seed that is a multiple of this has planned faults only, which must not cut any
+/// request short.
 const PLANNED_ONLY_EVERY: u64 = 4;
 
-/// A fault and when it comes.
+/// A fault and its time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Step {
-    /// From the start of the callers.
+    /// The time since the start of the callers.
     pub at: Duration,
-    /// What is done.
+    /// The fault to inject.
     pub fault: Fault,
 }
 
-/// What a seed does, in order of time.
+/// The steps of a seed in order of time.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Plan {
     /// The seed.
@@ -58,53 +61,53 @@
     pub fn draw(seed: u64) -> Plan {
         let mut rng = fastrand::Rng::with_seed(seed);
         let planned_only = seed.is_multiple_of(PLANNED_ONLY_EVERY);
-        let count = rng.usize(LEAST_FAULTS..=MOST_FAULTS);
+        let count = rng.usize(MIN_FAULTS..=MAX_FAULTS);
         let mut steps: Vec<Step> = Vec::with_capacity(count);
         while steps.len() < count {
             let fault = draw_fault(&mut rng);
             if planned_only && !fault.is_planned() {
                 continue;
             }
-            let after = rng.u64(0..FAULTS_LAST.as_millis() as u64);
-            let at = LEAD + Duration::from_millis(after);
+            let after = rng.u64(0..FAULT_PERIOD.as_millis() as u64);
+            let at = WARMUP + Duration::from_millis(after);
             steps.push(Step { at, fault });
         }
-        if seed >= KILLS_ALL_FROM && !planned_only {
-            let after = rng.u64(0..FAULTS_LAST.as_millis() as u64);
+        if seed >= KILL_ALL_FROM_SEED && !planned_only {
+            let after = rng.u64(0..FAULT_PERIOD.as_millis() as u64);
             let down = Duration::from_millis(rng.u64(50..1_500));
             steps.push(Step {
-                at: LEAD + Duration::from_millis(after),
+                at: WARMUP + Duration::from_millis(after),
                 fault: Fault::KillAll(down),
             });
         }
-        if seed >= STARTS_AGAIN_FROM && !planned_only {
+        if seed >= RESTARTS_FROM_SEED && !planned_only {
             for _ in 0..rng.usize(1..=2) {
-                let after = rng.u64(0..FAULTS_LAST.as_millis() as u64);
+                let after = rng.u64(0..FAULT_PERIOD.as_millis() as u64);
                 steps.push(Step {
-                    at: LEAD + Duration::from_millis(after),
+                    at: WARMUP + Duration::from_millis(after),
                     fault: Fault::RestartUpstream(rng.usize(..)),
                 });
             }
         }
-        if seed >= BAD_FROM && !planned_only {
+        if seed >= CRASHES_FROM_SEED && !planned_only {
             for number in 0..rng.u64(1..=2) {
-                let after = rng.u64(0..FAULTS_LAST.as_millis() as u64 / 2);
+                let after = rng.u64(0..FAULT_PERIOD.as_millis() as u64 / 2);
                 steps.push(Step {
-                    at: LEAD + Duration::from_millis(after),
-                    fault: Fault::CrashingRequest(number * 4 + rng.u64(..4), BAD_LASTS),
+                    at: WARMUP + Duration::from_millis(after),
+                    fault: Fault::CrashingRequest(number * 4 + rng.u64(..4), CRASHES_DURATION),
                 });
             }
         }
-        if seed >= LIMITS_FROM {
+        if seed >= LIMITS_FROM_SEED {
             for _ in 0..rng.usize(1..=3) {
-                let after = rng.u64(0..FAULTS_LAST.as_millis() as u64 / 2);
+                let after = rng.u64(0..FAULT_PERIOD.as_millis() as u64 / 2);
                 steps.push(Step {
-                    at: LEAD + Duration::from_millis(after),
-                    fault: Fault::Limit(rng.usize(..), rng.u32(1..=3), LIMIT_LASTS),
+                    at: WARMUP + Duration::from_millis(after),
+                    fault: Fault::Limit(rng.usize(..), rng.u32(1..=3), LIMIT_DURATION),
                 });
             }
         }
-        if seed >= NOTICES_FROM {
+        if seed >= NOTICES_FROM_SEED {
             steps.extend(draw_notices(&mut rng, planned_only));
         }
         steps.sort_by_key(|s| s.at);
@@ -113,12 +116,12 @@
 
     /// True if callers also send a hot request.
     pub fn has_hot(&self) -> bool {
-        self.seed >= BAD_FROM
+        self.seed >= CRASHES_FROM_SEED
     }
 
-    /// When the last of them has passed, stops and restarts included.
+    /// The end of the period in which faults begin.
     pub fn end(&self) -> Duration {
-        LEAD + FAULTS_LAST
+        WARMUP + FAULT_PERIOD
     }
 }
 
@@ -136,30 +139,30 @@
         }
     }
     let step = |fault| {
-        let after = rng.u64(0..FAULTS_LAST.as_millis() as u64 / 2);
-        let at = LEAD + Duration::from_millis(after);
+        let after = rng.u64(0..FAULT_PERIOD.as_millis() as u64 / 2);
+        let at = WARMUP + Duration::from_millis(after);
         Step { at, fault }
     };
     faults.into_iter().map(step).collect()
 }
 
 fn draw_fault(rng: &mut fastrand::Rng) -> Fault {
-    let place = rng.usize(..);
+    let target = rng.usize(..);
     let span = Duration::from_millis(rng.u64(300..3_000));
     match rng.u8(0..20) {
-        0 | 1 => Fault::Kill(place, span / 2),
-        2 | 3 => Fault::Stop(place),
-        4 => Fault::Pause(place, span),
-        5 => Fault::Reload(place),
+        0 | 1 => Fault::Kill(target, span / 2),
+        2 | 3 => Fault::Stop(target),
+        4 => Fault::Pause(target, span),
+        5 => Fault::Reload(target),
         6 | 7 => Fault::Store(draw_store_mode(rng), span),
         8 => Fault::Compact,
-        9..=12 => Fault::Upstream(place, draw_engine_mode(rng), span),
-        13 | 14 => Fault::UpstreamLink(place, draw_link_mode(rng), span),
-        15 => Fault::StoreLink(place, draw_link_mode(rng), span),
-        16 => Fault::Drain(place),
-        17 => Fault::ReplaceUpstream(place),
+        9..=12 => Fault::Upstream(target, draw_upstream_mode(rng), span),
+        13 | 14 => Fault::UpstreamLink(target, draw_link_mode(rng), span),
+        15 => Fault::StoreLink(target, draw_link_mode(rng), span),
+        16 => Fault::Drain(target),
+        17 => Fault::ReplaceUpstream(target),
         18 if rng.bool() => Fault::Revoke,
-        18 => Fault::RevokeDuringPartition(place),
+        18 => Fault::RevokeDuringPartition(target),
         _ => Fault::Configure,
     }
 }
@@ -173,7 +176,7 @@
     }
 }
 
-fn draw_engine_mode(rng: &mut fastrand::Rng) -> UpstreamMode {
+fn draw_upstream_mode(rng: &mut fastrand::Rng) -> UpstreamMode {
     match rng.u8(0..6) {
         0 => UpstreamMode::Sheds,
         1 => UpstreamMode::Fails,
--- /dev/null
+++ b/soak/src/quarantine.rs
@@ -0,0 +1,94 @@
+//! Checks that requests which crash upstreams are quarantined, and that no others are.
+
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use crate::Attempt;
+use crate::Fault;
+use crate::FaultSpan;
+use crate::Outcome;
+use crate::RequestKind;
+use crate::UpstreamRequest;
+use crate::Violation;
+
+/// Crashes of upstreams after which a request has to be quarantined: the users' bound.
+const CRASHES_ALLOWED: usize = 3;
+/// The time after that within which all connected instances have to know the quarantine:
+/// the users' bound on the propagation of changes.
+const PROPAGATION_BOUND: Duration = Duration::from_millis(3_000);
+/// Executions that are tolerated after that by connected instances.
+const EXECUTIONS_TOLERATED: usize = 3;
+/// The time since the last disturbance of an instance or the store after which instances
+/// count as connected.
+const CONNECTED_AFTER: Duration = Duration::from_millis(3_000);
+/// The part of a refusal's body that shows a quarantine.
+const QUARANTINED: &str = "\"error\":\"quarantined\"";
+
+/// Violations of the guarantees on requests that crash upstreams.
+pub(crate) fn judge(
+    attempts: &[Attempt],
+    requests: &[UpstreamRequest],
+    spans: &[FaultSpan],
+) -> Vec<Violation> {
+    let mut crashing: BTreeMap<u64, Vec<&UpstreamRequest>> = BTreeMap::new();
+    for request in requests.iter().filter(|r| r.executed) {
+        if let Some(number) = request.crash_number {
+            crashing.entry(number).or_default().push(request);
+        }
+    }
+    let mut violations = Vec::new();
+    for (number, requests) in crashing {
+        let Some(third) = requests.get(CRASHES_ALLOWED - 1) else {
+            continue;
+        };
+        let known = third.at + PROPAGATION_BOUND;
+        let later = requests
+            .iter()
+            .filter(|r| r.at > known && is_undisturbed(r.at, spans));
+        let later = later.count();
+        if later > EXECUTIONS_TOLERATED {
+            violations.push(Violation {
+                guarantee: "crashing requests are quarantined",
+                detail: format!(
+                    "request {number} was executed {later} times after the bound, {} in all",
+                    requests.len()
+                ),
+            });
+        }
+    }
+    let innocent = attempts
+        .iter()
+        .filter(|a| !matches!(a.kind, RequestKind::Crashing(_)));
+    for a in innocent.filter(|a| is_quarantined(a)) {
+        violations.push(Violation {
+            guarantee: "only crashing requests are quarantined",
+            detail: format!(
+                "{} {:?} at {:?} was refused as quarantined",
+                a.id, a.kind, a.sent
+            ),
+        });
+    }
+    violations
+}
+
+/// True if neither the instances nor the store were disturbed within [`CONNECTED_AFTER`].
+fn is_undisturbed(at: Duration, spans: &[FaultSpan]) -> bool {
+    let disturbs = |s: &&FaultSpan| {
+        matches!(
+            s.fault,
+            Fault::Kill(..)
+                | Fault::KillAll(_)
+                | Fault::Stop(_)
+                | Fault::Pause(..)
+                | Fault::Store(..)
+                | Fault::StoreLink(..)
+                | Fault::RevokeDuringPartition(_)
+        )
+    };
+    let mut disturbed = spans.iter().filter(disturbs);
+    !disturbed.any(|s| s.from < at && s.to + CONNECTED_AFTER > at)
+}
+
+fn is_quarantined(a: &Attempt) -> bool {
+    matches!(&a.outcome, Outcome::Response { body, .. } if body.contains(QUARANTINED))
+}
--- a/soak/src/recorder.rs
+++ b/soak/src/recorder.rs
@@ -1,4 +1,4 @@
-//! What callers and upstreams saw.
+//! The record of requests at callers and upstreams, and of injected faults.
 
 use std::sync::Mutex;
 use std::time::Duration;
@@ -8,67 +8,94 @@
 
 use crate::Fault;
 
-/// What may be done with a request.
+/// The kind of a request, which determines how often it may be executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum RequestKind {
-    /// It may run more than once.
+    /// May be executed more than once.
     Idempotent,
-    /// It may run once at most.
+    /// Must be executed at most once.
     NonIdempotent,
-    /// Its answer is a stream that may go on elsewhere, after a stage.
+    /// Has a stage and answers with a stream that may resume at another upstream.
     ResumableStream,
-    /// Its answer is a stream that may not.
+    /// Answers with a stream that must not resume at another upstream.
     Stream,
-    /// The same at each attempt, and it may run more than once.
+    /// Has the same body at each attempt and may be executed more than once.
     Hot,
-    /// The same at each attempt, and it ends each upstream that runs it. In which way it
-    /// is sent goes by its number.
+    /// Has the same body at each attempt and crashes every upstream that executes it. Its
+    /// number selects the route.
     Crashing(u64),
-    /// It only shows which configuration is in force.
+    /// Uses a route that only this version of the configuration has, to show whether that
+    /// version is in force.
     ConfigProbe(u64),
 }
 
-/// How a caller's attempt ended.
+/// The outcome of a caller's attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
-    /// With an answer.
+    /// A response arrived.
     Response {
-        /// Its status.
+        /// The HTTP status.
         status: u16,
-        /// What the upstream vouches with, if it does.
+        /// The upstream's signature, if the response has one.
         signature: Option<String>,
-        /// As far as it came.
+        /// The part of the body that arrived.
         body: String,
-        /// False if the connection broke before the end.
+        /// False if the body did not arrive to its end.
         complete: bool,
     },
-    /// The connection broke without an answer.
+    /// The connection was lost before a response arrived.
     ConnectionLost,
-    /// No connection could be had.
+    /// No connection could be opened.
     NotSent,
-    /// Nothing came in time.
+    /// No response arrived in time.
     TimedOut,
 }
 
-/// One attempt of a caller.
+/// A caller's attempt.
 #[derive(Debug, Clone)]
 pub struct Attempt {
-    /// Its identity.
+    /// The identity of the attempt.
     pub id: String,
-    /// What may be done with it.
+    /// The kind of request.
     pub kind: RequestKind,
-    /// The credential that it showed.
+    /// The credential that was sent.
     pub key: &'static str,
-    /// The instance that took it, and which start of it.
+    /// The instance that the attempt was sent to, and the number of that instance's start.
     pub instance: (usize, u32),
-    /// When it was sent.
+    /// The time of sending.
     pub sent: Duration,
-    /// When it ended.
+    /// The time at which the attempt ended.
     pub ended: Duration,
-    /// How.
+    /// The outcome.
     pub outcome: Outcome,
 }
 
+impl Attempt {
+    /// True if the request may be executed more than once.
+    pub(crate) fn may_retry(&self) -> bool {
+        matches!(
+            self.kind,
+            RequestKind::Idempotent
+                | RequestKind::ResumableStream
+                | RequestKind::ConfigProbe(_)
+                | RequestKind::Hot
+                | RequestKind::Crashing(_)
+        )
+    }
+
+    /// True if a complete and successful response arrived.
+    pub fn is_served(&self) -> bool {
+        matches!(
+            &self.outcome,
+            Outcome::Response {
+                status: 200..300,
+                complete: true,
+                ..
+            }
+        )
+    }
+}
+
 /// A request that reached an upstream.
 #[derive(Debug, Clone)]
 pub struct UpstreamRequest {
@@ -76,49 +103,49 @@
     pub id: String,
     /// The upstream's identity.
     pub upstream: String,
-    /// When.
+    /// The time of arrival.
     pub at: Duration,
-    /// True if the upstream began to work on it.
+    /// True if the upstream started to execute the request.
     pub executed: bool,
-    /// The number of the bad request that it is, if it is one.
+    /// The number of the crashing request, if the request is of that kind.
     pub crash_number: Option<u64>,
-    /// What was wrong with it as it came, if anything.
+    /// The defect of the request as it arrived, if any.
     pub fault: Option<&'static str>,
-    /// What the answer said of what may be sent next.
+    /// The notice in the answer.
     pub notice: Notice,
 }
 
-/// What an upstream says in an answer of what may be sent to it next.
+/// An upstream's notice in an answer on which requests it accepts next.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Notice {
-    /// It is about to stop.
+    /// True if the upstream is about to stop.
     pub leaving: bool,
-    /// It wants nothing for so long.
+    /// The time for which the upstream accepts no requests.
     pub backoff: Option<Duration>,
 }
 
-/// A fault and how long it lasted.
+/// A fault and the time that it lasted.
 #[derive(Debug, Clone)]
 pub struct FaultSpan {
-    /// What was done.
+    /// The fault.
     pub fault: Fault,
-    /// Since when.
+    /// The start.
     pub from: Duration,
-    /// Until when.
+    /// The end.
     pub to: Duration,
-    /// What it concerns: the upstream, the credential, or the version.
+    /// The upstream, the credential or the configuration version that the fault concerns.
     pub target: String,
 }
 
-/// What callers and upstreams saw, and what was done to the system.
+/// Records attempts of callers, requests at upstreams, and injected faults.
 #[derive(Debug)]
 pub struct Recorder {
     started: Instant,
-    /// Attempts of callers, in the order in which they ended.
+    /// Attempts of callers in the order in which they ended.
     pub attempts: Mutex<Vec<Attempt>>,
-    /// What reached upstreams, in order.
+    /// Requests at upstreams in order of arrival.
     pub upstream_requests: Mutex<Vec<UpstreamRequest>>,
-    /// What was done.
+    /// Injected faults.
     pub spans: Mutex<Vec<FaultSpan>>,
 }
 
@@ -134,7 +161,7 @@
 }
 
 impl Recorder {
-    /// The time since the soak began.
+    /// The time since the start of the soak.
     pub fn now(&self) -> Duration {
         self.started.elapsed()
     }
--- a/soak/src/relay.rs
+++ b/soak/src/relay.rs
@@ -1,4 +1,4 @@
-//! A link that can fail: a relay of connections on the loopback.
+//! A TCP relay on the loopback interface that injects link faults.
 
 use std::net::Shutdown;
 use std::net::SocketAddr;
@@ -18,31 +18,31 @@
 
 use crate::LinkMode;
 
-/// How often a connection that carries nothing looks whether it may again.
-const LOOK_AGAIN: Duration = Duration::from_millis(20);
+/// The interval at which relays check for a change of their mode.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What a relay does now.
+/// The state of a relay.
 #[derive(Debug, Clone, Copy, Default)]
-struct Doing {
+struct State {
     mode: Option<LinkMode>,
-    /// Connections with a lower number carry nothing for good.
-    forgotten: u64,
+    /// Connections with a lower number never carry data again.
+    first_live: u64,
     opened: u64,
 }
 
-/// A link that can fail: connections to its address are carried to another.
+/// Relays connections from its address to another one, and injects faults.
 #[derive(Debug)]
 pub(crate) struct Relay {
     address: SocketAddr,
     to: SocketAddr,
-    doing: Mutex<Doing>,
+    state: Mutex<State>,
 }
 
-/// Which way bytes go.
+/// The direction of a transfer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Way {
-    There,
-    Back,
+enum Direction {
+    ToServer,
+    ToClient,
 }
 
 impl Relay {
@@ -55,7 +55,7 @@
         let relay = Arc::new(Relay {
             address: listener.get_ref().local_addr()?,
             to,
-            doing: Mutex::default(),
+            state: Mutex::default(),
         });
         let accepting = Arc::clone(&relay).accept(listener, Arc::clone(executor));
         executor.spawn(accepting).detach();
@@ -66,13 +66,13 @@
         self.address
     }
 
-    /// Misbehaves from now on, or does not.
+    /// Sets the fault of the link, or none.
     pub(crate) fn set(&self, mode: Option<LinkMode>) {
-        let mut doing = lock(&self.doing);
+        let mut state = lock(&self.state);
         if mode == Some(LinkMode::BlackholesOpen) {
-            doing.forgotten = doing.opened + 1;
+            state.first_live = state.opened + 1;
         }
-        doing.mode = mode;
+        state.mode = mode;
     }
 
     async fn accept(
@@ -84,7 +84,7 @@
         while let Some(open) = listener.take() {
             let accepted = async { Some(open.accept().await) };
             let gone = async {
-                self.until_set(LinkMode::Refuses).await;
+                self.wait_for_mode(LinkMode::Refuses).await;
                 None
             };
             match future::or(accepted, gone).await {
@@ -104,78 +104,84 @@
         }
     }
 
-    /// Listens again once somebody is there again.
+    /// Opens the listener again once the mode is no longer [`LinkMode::Refuses`].
     async fn listen_again(&self) -> Option<Async<TcpListener>> {
         loop {
-            Timer::after(LOOK_AGAIN).await;
-            if lock(&self.doing).mode != Some(LinkMode::Refuses) {
+            Timer::after(POLL_INTERVAL).await;
+            if lock(&self.state).mode != Some(LinkMode::Refuses) {
                 return Async::<TcpListener>::bind(self.address).ok();
             }
         }
     }
 
-    /// Carries one connection until one of its ends closes it.
+    /// Relays a connection until one of its ends closes it or the mode resets it.
     async fn carry(&self, from: Async<TcpStream>) {
         let number = {
-            let mut doing = lock(&self.doing);
-            doing.opened += 1;
-            doing.opened
+            let mut state = lock(&self.state);
+            state.opened += 1;
+            state.opened
         };
-        // Nobody to carry to: the caller sees its connection closed.
+        // The destination does not listen, so the client's connection is closed.
         let Ok(to) = Async::<TcpStream>::connect(self.to).await else {
             return;
         };
         let both = future::zip(
-            self.copy(number, &from, &to, Way::There),
-            self.copy(number, &to, &from, Way::Back),
+            self.copy(number, &from, &to, Direction::ToServer),
+            self.copy(number, &to, &from, Direction::ToClient),
         );
         let both = async {
             both.await;
         };
         let over = future::or(
-            self.until_set(LinkMode::Resets),
-            self.until_set(LinkMode::Refuses),
+            self.wait_for_mode(LinkMode::Resets),
+            self.wait_for_mode(LinkMode::Refuses),
         );
         future::or(both, over).await;
-        // Either may be closed already.
+        // The sockets may be closed already.
         let _ = from.get_ref().shutdown(Shutdown::Both);
         let _ = to.get_ref().shutdown(Shutdown::Both);
     }
 
-    async fn copy(&self, number: u64, from: &Async<TcpStream>, to: &Async<TcpStream>, way: Way) {
+    async fn copy(
+        &self,
+        number: u64,
+        from: &Async<TcpStream>,
+        to: &Async<TcpStream>,
+        direction: Direction,
+    ) {
         let (mut from, mut to) = (from, to);
         let mut buf = vec![0; 16 << 10];
         while let Ok(read @ 1..) = from.read(&mut buf).await {
-            self.until_carried(number, way).await;
+            self.wait_until_forwarding(number, direction).await;
             if to.write_all(&buf[..read]).await.is_err() {
                 break;
             }
         }
-        // Tells the other end that nothing more comes; it may know.
+        // Passes the end of the stream on; the socket may be closed already.
         let _ = to.get_ref().shutdown(Shutdown::Write);
     }
 
-    /// Returns once bytes of a connection may go on.
-    async fn until_carried(&self, number: u64, way: Way) {
+    /// Waits until data of a connection may be forwarded.
+    async fn wait_until_forwarding(&self, number: u64, direction: Direction) {
         loop {
-            let doing = *lock(&self.doing);
-            match doing.mode {
-                _ if number < doing.forgotten => {}
+            let state = *lock(&self.state);
+            match state.mode {
+                _ if number < state.first_live => {}
                 Some(LinkMode::Blackholes) => {}
-                Some(LinkMode::BlackholesReplies) if way == Way::Back => {}
+                Some(LinkMode::BlackholesReplies) if direction == Direction::ToClient => {}
                 Some(LinkMode::Delays(by)) => {
                     Timer::after(by).await;
                     return;
                 }
                 _ => return,
             }
-            Timer::after(LOOK_AGAIN).await;
+            Timer::after(POLL_INTERVAL).await;
         }
     }
 
-    async fn until_set(&self, mode: LinkMode) {
-        while lock(&self.doing).mode != Some(mode) {
-            Timer::after(LOOK_AGAIN).await;
+    async fn wait_for_mode(&self, mode: LinkMode) {
+        while lock(&self.state).mode != Some(mode) {
+            Timer::after(POLL_INTERVAL).await;
         }
     }
 }
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! Playing the plan of a seed.
+//! Running the plan of a seed.
 
 use std::io;
 use std::sync::Arc;
@@ -29,50 +29,49 @@
 use crate::judge::judge;
 use crate::relay::Relay;
 
-/// Callers for each instance.
-const CALLERS_EACH: usize = 4;
-/// How long callers go on after the last fault.
-const CALM: Duration = Duration::from_millis(4_500);
-/// How long an instance may take to be ready, or to stop, before the soak gives
-/// up on it.
-const PATIENCE: Duration = Duration::from_secs(20);
-/// Between two looks at a process.
-const LOOK: Duration = Duration::from_millis(20);
-/// How long an instance is cut off while a credential is taken away: the users'
-/// bound for that, and long enough to see what it does beyond.
-const CUT_BEHIND: Duration = Duration::from_millis(7_500);
-/// Between two beats that show how late this program itself is.
-const BEAT: Duration = Duration::from_millis(50);
-/// Between two sendings of a bad request.
-const BAD_EVERY: Duration = Duration::from_millis(250);
-/// From an upstream's word that it leaves to its end.
-const DRAIN_LASTS: Duration = Duration::from_millis(5_000);
+/// The number of callers per instance.
+const CALLERS_PER_INSTANCE: usize = 4;
+/// The time for which callers go on after the last fault.
+const CALM_PERIOD: Duration = Duration::from_millis(4_500);
+/// The time for an instance to become ready, or to stop, after which the soak fails.
+const STATE_TIMEOUT: Duration = Duration::from_secs(20);
+/// The interval between two checks of a process.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// The time for which an instance is partitioned from the store while a credential is
+/// revoked: the users' bound on revocations, and time to observe the instance beyond it.
+const PARTITION_DURATION: Duration = Duration::from_millis(7_500);
+/// The interval of the timer that measures the scheduling lag of this program.
+const LAG_INTERVAL: Duration = Duration::from_millis(50);
+/// The interval between two sends of a crashing request.
+const CRASHING_REQUEST_INTERVAL: Duration = Duration::from_millis(250);
+/// The time from an upstream's leaving notice to its replacement.
+const DRAIN_DURATION: Duration = Duration::from_millis(5_000);
 
-/// What came of a soak.
+/// The result of a soak.
 #[derive(Debug)]
 pub struct SoakReport {
-    /// What everybody saw.
+    /// The recorded attempts, requests and faults.
     pub recorder: Arc<Recorder>,
-    /// The promises that were broken.
+    /// The violated guarantees.
     pub violations: Vec<Violation>,
-    /// By how much the stand-ins and the callers were late at most, because the
-    /// machine was busy.
+    /// The largest scheduling lag of the callers and fakes, caused by a busy machine.
     pub lag: Duration,
 }
 
-/// What steps need.
-struct Stage {
+/// Runs the steps of a plan.
+struct Runner {
     executor: Arc<Executor<'static>>,
-    environment: Arc<Environment>,
+    env: Arc<Environment>,
     fleet: Arc<dyn Fleet>,
     pool: HttpPool,
     starts: Arc<Vec<AtomicU32>>,
-    /// Instances and upstreams that a step has in hand; others leave them alone.
+    /// Instances, upstreams and the store, in this order; true while a step holds them. Steps
+    /// that need a held target are skipped.
     held: Vec<AtomicBool>,
 }
 
-/// Plays a plan with `instances` processes of `fleet` on loopback addresses that
-/// begin with `network`.
+/// Runs a plan with `instances` processes of `fleet` on loopback addresses that begin
+/// with `network`.
 pub async fn soak(
     executor: &Arc<Executor<'static>>,
     plan: &Plan,
@@ -80,48 +79,48 @@
     network: [u8; 3],
     instances: usize,
 ) -> io::Result<SoakReport> {
-    let environment = Arc::new(Environment::start(executor, network, instances)?);
-    // The last one is the store.
-    let held = instances + environment.places.len() + 1;
-    let stage = Arc::new(Stage {
+    let env = Arc::new(Environment::start(executor, network, instances)?);
+    // The last entry is for the store.
+    let held = instances + env.upstreams.len() + 1;
+    let runner = Arc::new(Runner {
         executor: Arc::clone(executor),
         pool: HttpPool::new(Arc::clone(executor), Clock::start()),
         starts: Arc::new((0..instances).map(|_| AtomicU32::new(0)).collect()),
         held: (0..held).map(|_| AtomicBool::new(false)).collect(),
-        environment: Arc::clone(&environment),
+        env: Arc::clone(&env),
         fleet,
     });
-    let ending = Arc::clone(&environment).end_by_requests(Arc::clone(executor));
+    let ending = Arc::clone(&env).handle_crashes(Arc::clone(executor));
     executor.spawn(ending).detach();
     for n in 0..instances {
-        stage.start(n);
+        runner.start(n);
     }
     for n in 0..instances {
-        stage.until_ready(n).await?;
+        runner.until_ready(n).await?;
     }
     let stopped = Arc::new(AtomicBool::new(false));
-    let lag = executor.spawn(measure_lag(Arc::clone(&environment), Arc::clone(&stopped)));
-    let callers = start_callers(executor, &stage, &stopped, plan.seed, plan.has_hot());
-    let began = environment.recorder.now();
+    let lag = executor.spawn(measure_lag(Arc::clone(&env), Arc::clone(&stopped)));
+    let callers = start_callers(executor, &runner, &stopped, plan.seed, plan.has_hot());
+    let began = env.recorder.now();
     let mut steps: Vec<Task<io::Result<()>>> = Vec::new();
     for step in &plan.steps {
-        Timer::after((began + step.at).saturating_sub(environment.recorder.now())).await;
-        let (stage, step) = (Arc::clone(&stage), *step);
-        steps.push(executor.spawn(async move { stage.play(step).await }));
+        Timer::after((began + step.at).saturating_sub(env.recorder.now())).await;
+        let (runner, step) = (Arc::clone(&runner), *step);
+        steps.push(executor.spawn(async move { runner.run(step).await }));
     }
-    Timer::after((began + plan.end()).saturating_sub(environment.recorder.now())).await;
+    Timer::after((began + plan.end()).saturating_sub(env.recorder.now())).await;
     for step in steps {
         step.await?;
     }
-    let calm = environment.recorder.now();
-    Timer::after(CALM).await;
+    let calm = env.recorder.now();
+    Timer::after(CALM_PERIOD).await;
     stopped.store(true, Ordering::Relaxed);
     for caller in callers {
         caller.await;
     }
-    stage.end(instances).await?;
-    let violations = judge(&environment.recorder, calm);
-    let recorder = Arc::clone(&environment.recorder);
+    runner.end(instances).await?;
+    let violations = judge(&env.recorder, calm);
+    let recorder = Arc::clone(&env.recorder);
     let lag = lag.await;
     Ok(SoakReport {
         recorder,
@@ -130,32 +129,32 @@
     })
 }
 
-/// By how much a timer of this program was late at most.
-async fn measure_lag(environment: Arc<Environment>, stopped: Arc<AtomicBool>) -> Duration {
+/// Returns the largest delay of a timer of this program until `stopped` is set.
+async fn measure_lag(env: Arc<Environment>, stopped: Arc<AtomicBool>) -> Duration {
     let mut most = Duration::ZERO;
     while !stopped.load(Ordering::Relaxed) {
-        let began = environment.recorder.now();
-        Timer::after(BEAT).await;
-        let took = environment.recorder.now().saturating_sub(began);
-        most = most.max(took.saturating_sub(BEAT));
+        let began = env.recorder.now();
+        Timer::after(LAG_INTERVAL).await;
+        let took = env.recorder.now().saturating_sub(began);
+        most = most.max(took.saturating_sub(LAG_INTERVAL));
     }
     most
 }
 
 fn start_callers(
     executor: &Arc<Executor<'static>>,
-    stage: &Arc<Stage>,
+    runner: &Arc<Runner>,
     stopped: &Arc<AtomicBool>,
     seed: u64,
     hot: bool,
 ) -> Vec<Task<()>> {
-    let count = stage.starts.len() * CALLERS_EACH;
+    let count = runner.starts.len() * CALLERS_PER_INSTANCE;
     let callers = (0..count as u64).map(|n| {
         let caller = Caller {
-            environment: Arc::clone(&stage.environment),
-            // Each has connections of its own, as callers elsewhere do.
+            env: Arc::clone(&runner.env),
+            // Each caller has its own connections, as real callers do.
             pool: HttpPool::new(Arc::clone(executor), Clock::start()),
-            starts: Arc::clone(&stage.starts),
+            starts: Arc::clone(&runner.starts),
             stopped: Arc::clone(stopped),
             rng: fastrand::Rng::with_seed(seed.wrapping_mul(1_000) + n),
             hot,
@@ -165,38 +164,38 @@
     callers.collect()
 }
 
-impl Stage {
+impl Runner {
     fn start(&self, n: usize) {
         self.starts[n].fetch_add(1, Ordering::Relaxed);
-        self.fleet.start(n, &self.environment.settings(n));
+        self.fleet.start(n, &self.env.settings(n));
     }
 
     async fn until_ready(&self, n: usize) -> io::Result<()> {
-        let until = self.environment.recorder.now() + PATIENCE;
-        while self.environment.recorder.now() < until {
+        let until = self.env.recorder.now() + STATE_TIMEOUT;
+        while self.env.recorder.now() < until {
             let mut req = Request::new(jd_net::empty());
             *req.uri_mut() = http::Uri::from_static("/v1/readyz");
             req.headers_mut()
                 .insert("host", http::HeaderValue::from_static("ready"));
-            let address = self.environment.ready_at(n);
+            let address = self.env.ready_at(n);
             let sent = self.pool.send(address, req, Duration::from_secs(1), true);
             if matches!(sent.await, Some(Ok(res)) if res.status.is_success()) {
                 return Ok(());
             }
-            Timer::after(LOOK).await;
+            Timer::after(POLL_INTERVAL).await;
         }
         Err(io::Error::other(format!(
-            "instance {n} does not become ready"
+            "instance {n} did not become ready"
         )))
     }
 
     async fn until_ended(&self, n: usize) -> io::Result<()> {
-        let until = self.environment.recorder.now() + PATIENCE;
+        let until = self.env.recorder.now() + STATE_TIMEOUT;
         while self.fleet.is_running(n) {
-            if self.environment.recorder.now() > until {
-                return Err(io::Error::other(format!("instance {n} does not end")));
+            if self.env.recorder.now() > until {
+                return Err(io::Error::other(format!("instance {n} did not stop")));
             }
-            Timer::after(LOOK).await;
+            Timer::after(POLL_INTERVAL).await;
         }
         Ok(())
     }
@@ -212,55 +211,53 @@
         Ok(())
     }
 
-    /// Plays one step and writes down how long it lasted.
-    async fn play(&self, step: Step) -> io::Result<()> {
+    /// Runs a step and records the time that it lasted.
+    async fn run(&self, step: Step) -> io::Result<()> {
         let instances = self.starts.len();
-        let places = self.environment.places.len();
+        let upstreams = self.env.upstreams.len();
         let held = match step.fault {
             Fault::Kill(n, _) | Fault::Stop(n) | Fault::Pause(n, _) => Some(n % instances),
             Fault::Drain(n)
             | Fault::DrainByAnswers(n)
             | Fault::ReplaceUpstream(n)
             | Fault::RestartUpstream(n)
-            | Fault::Limit(n, _, _) => Some(instances + n % places),
-            Fault::Restore(_) => Some(instances + places),
+            | Fault::Limit(n, _, _) => Some(instances + n % upstreams),
+            Fault::Restore(_) => Some(instances + upstreams),
             _ => None,
         };
         if held.is_some_and(|h| self.held[h].swap(true, Ordering::Relaxed)) {
             return Ok(());
         }
-        let from = self.environment.recorder.now();
-        let what = self.what(step.fault);
+        let from = self.env.recorder.now();
+        let target = self.target(step.fault);
         if let Fault::Drain(_) | Fault::Configure = step.fault {
-            // Its effect begins now and not when the step has passed.
-            self.environment
-                .recorder
-                .span(step.fault, from, from, &what);
+            // The effect of these faults begins now and not at the end of the step.
+            self.env.recorder.span(step.fault, from, from, &target);
         }
-        let what = self.carry_out(step.fault).await?.unwrap_or(what);
-        let to = self.environment.recorder.now();
-        self.environment.recorder.span(step.fault, from, to, &what);
+        let target = self.inject(step.fault).await?.unwrap_or(target);
+        let to = self.env.recorder.now();
+        self.env.recorder.span(step.fault, from, to, &target);
         if let Some(h) = held {
             self.held[h].store(false, Ordering::Relaxed);
         }
         Ok(())
     }
 
-    /// What a fault concerns.
-    fn what(&self, fault: Fault) -> String {
-        let places = &self.environment.places;
+    /// The identity of the upstream that a fault concerns, or an empty string.
+    fn target(&self, fault: Fault) -> String {
+        let upstreams = &self.env.upstreams;
         match fault {
             Fault::Drain(n)
             | Fault::DrainByAnswers(n)
             | Fault::ReplaceUpstream(n)
             | Fault::RestartUpstream(n)
             | Fault::Upstream(n, _, _)
-            | Fault::Limit(n, _, _) => places[n % places.len()].handler.engine().id(),
+            | Fault::Limit(n, _, _) => upstreams[n % upstreams.len()].handler.fake().id(),
             _ => String::new(),
         }
     }
 
-    /// Kills all instances that no other fault holds, and starts them together.
+    /// Kills all instances that no other step holds, and restarts them together.
     async fn kill_all(&self, down: Duration) -> io::Result<()> {
         let all = 0..self.starts.len();
         let free = all.filter(|n| !self.held[*n].swap(true, Ordering::Relaxed));
@@ -282,10 +279,10 @@
         Ok(())
     }
 
-    async fn carry_out(&self, fault: Fault) -> io::Result<Option<String>> {
+    async fn inject(&self, fault: Fault) -> io::Result<Option<String>> {
         let instances = self.starts.len();
-        let places = &self.environment.places;
-        let place = |n: usize| &places[n % places.len()];
+        let upstreams = &self.env.upstreams;
+        let upstream = |n: usize| &upstreams[n % upstreams.len()];
         match fault {
             Fault::Kill(n, down) => {
                 let n = n % instances;
@@ -311,75 +308,71 @@
             }
             Fault::Reload(n) => self.fleet.signal(n % instances, ProcessSignal::Reload),
             Fault::Store(mode, span) => {
-                *lock(&self.environment.store.mode) = Some(mode);
+                *lock(&self.env.store.mode) = Some(mode);
                 Timer::after(span).await;
-                *lock(&self.environment.store.mode) = None;
+                *lock(&self.env.store.mode) = None;
             }
-            Fault::Compact => lock(&self.environment.store.records).forget(),
+            Fault::Compact => lock(&self.env.store.records).compact(),
             Fault::Upstream(n, mode, span) => {
-                let engine = place(n).handler.engine();
-                *lock(&engine.mode) = Some(mode);
+                let fake = upstream(n).handler.fake();
+                *lock(&fake.mode) = Some(mode);
                 Timer::after(span).await;
-                *lock(&engine.mode) = None;
+                *lock(&fake.mode) = None;
             }
             Fault::Limit(n, per_s, span) => {
-                let engine = place(n).handler.engine();
-                *lock(&engine.limit) = Some(per_s);
+                let fake = upstream(n).handler.fake();
+                *lock(&fake.limit) = Some(per_s);
                 Timer::after(span).await;
-                *lock(&engine.limit) = None;
+                *lock(&fake.limit) = None;
             }
-            Fault::UpstreamLink(n, mode, span) => misbehave(&place(n).link, mode, span).await,
+            Fault::UpstreamLink(n, mode, span) => fail_link(&upstream(n).link, mode, span).await,
             Fault::StoreLink(n, mode, span) => {
-                misbehave(&self.environment.store_links[n % instances], mode, span).await;
+                fail_link(&self.env.store_links[n % instances], mode, span).await;
             }
             Fault::Drain(n) => {
-                let engine = place(n).handler.engine();
-                engine.draining.store(true, Ordering::Relaxed);
-                self.environment.register(place(n));
-                Timer::after(DRAIN_LASTS).await;
-                self.environment.replace(place(n));
+                let fake = upstream(n).handler.fake();
+                fake.draining.store(true, Ordering::Relaxed);
+                self.env.register(upstream(n));
+                Timer::after(DRAIN_DURATION).await;
+                self.env.replace(upstream(n));
             }
             Fault::DrainByAnswers(n) => {
-                let engine = place(n).handler.engine();
-                engine.says_leaving.store(true, Ordering::Relaxed);
-                Timer::after(DRAIN_LASTS).await;
-                self.environment.replace(place(n));
+                let fake = upstream(n).handler.fake();
+                fake.announces_leaving.store(true, Ordering::Relaxed);
+                Timer::after(DRAIN_DURATION).await;
+                self.env.replace(upstream(n));
             }
             Fault::Restore(age) => {
-                let copy = lock(&self.environment.store.records).clone();
+                let copy = lock(&self.env.store.records).clone();
                 Timer::after(age).await;
-                self.environment.restore(copy).await;
+                self.env.restore(copy).await;
             }
-            Fault::ReplaceUpstream(n) => self.environment.replace(place(n)),
-            Fault::RestartUpstream(n) => self.environment.start_again(place(n)).await,
-            Fault::CrashingRequest(number, span) => self.repeat_bad(number, span).await,
-            Fault::Configure => return Ok(Some(self.environment.configure().to_string())),
-            Fault::Revoke => return Ok(Some(self.environment.revoke().unwrap_or("").into())),
+            Fault::ReplaceUpstream(n) => self.env.replace(upstream(n)),
+            Fault::RestartUpstream(n) => self.env.restart(upstream(n)).await,
+            Fault::CrashingRequest(number, span) => self.repeat_crashing(number, span).await,
+            Fault::Configure => return Ok(Some(self.env.configure().to_string())),
+            Fault::Revoke => return Ok(Some(self.env.revoke().unwrap_or("").into())),
             Fault::RevokeDuringPartition(n) => {
-                let link = &self.environment.store_links[n % instances];
+                let link = &self.env.store_links[n % instances];
                 link.set(Some(LinkMode::Blackholes));
-                let from = self.environment.recorder.now();
-                let key = self.environment.revoke().unwrap_or("");
-                self.environment
-                    .recorder
-                    .span(Fault::Revoke, from, from, key);
-                Timer::after(CUT_BEHIND).await;
+                let from = self.env.recorder.now();
+                let key = self.env.revoke().unwrap_or("");
+                self.env.recorder.span(Fault::Revoke, from, from, key);
+                Timer::after(PARTITION_DURATION).await;
                 link.set(None);
             }
         }
         Ok(None)
     }
-}
 
-impl Stage {
-    /// Sends a bad request again and again, to any instance, waiting for no answer.
-    async fn repeat_bad(&self, number: u64, span: Duration) {
-        let until = self.environment.recorder.now() + span;
+    /// Sends a crashing request repeatedly to random instances, without waiting for answers.
+    async fn repeat_crashing(&self, number: u64, span: Duration) {
+        let until = self.env.recorder.now() + span;
         let mut rng = fastrand::Rng::with_seed(number);
-        let mut asked = Vec::new();
-        while self.environment.recorder.now() < until {
+        let mut sends = Vec::new();
+        while self.env.recorder.now() < until {
             let mut caller = Caller {
-                environment: Arc::clone(&self.environment),
+                env: Arc::clone(&self.env),
                 pool: self.pool.clone(),
                 starts: Arc::clone(&self.starts),
                 stopped: Arc::default(),
@@ -388,19 +381,19 @@
             };
             let instance = rng.usize(..self.starts.len());
             let sending = async move {
-                // It is told when to come back, and does not heed it.
+                // This caller deliberately ignores `Retry-After`.
                 let _ = caller.send(instance, RequestKind::Crashing(number)).await;
             };
-            asked.push(self.executor.spawn(sending));
-            Timer::after(BAD_EVERY).await;
+            sends.push(self.executor.spawn(sending));
+            Timer::after(CRASHING_REQUEST_INTERVAL).await;
         }
-        for sending in asked {
+        for sending in sends {
             sending.await;
         }
     }
 }
 
-async fn misbehave(link: &Relay, mode: LinkMode, span: Duration) {
+async fn fail_link(link: &Relay, mode: LinkMode, span: Duration) {
     link.set(Some(mode));
     if mode != LinkMode::BlackholesOpen {
         Timer::after(span).await;
--- a/soak/src/store.rs
+++ b/soak/src/store.rs
@@ -1,15 +1,15 @@
-//! A stand-in of the store: records, leases, history.
+//! The data of the fake store: records, leases and the history of changes.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
 use std::time::Duration;
 use std::time::Instant;
 
-/// One record.
+/// A record of the store.
 #[derive(Debug, Clone)]
 pub(crate) struct Record {
     pub(crate) key: String,
-    /// None if it was removed.
+    /// `None` if the record was removed.
     pub(crate) value: Option<Vec<u8>>,
     pub(crate) revision: u64,
     pub(crate) created: u64,
@@ -23,8 +23,8 @@
     revision: u64,
     records: BTreeMap<String, Record>,
     history: VecDeque<Record>,
-    /// What happened up to this revision is forgotten.
-    forgotten: u64,
+    /// Changes up to this revision are no longer in the history.
+    compacted: u64,
     leases: BTreeMap<u64, (Instant, Duration)>,
 }
 
@@ -33,8 +33,8 @@
         self.revision
     }
 
-    /// Writes and removes records under one revision, if those expected are
-    /// unchanged; else what they are.
+    /// Writes and removes records under one revision if the expected revisions are current.
+    /// Otherwise returns the current records of the expected keys.
     pub(crate) fn write(
         &mut self,
         expected: &[(String, u64)],
@@ -71,9 +71,9 @@
         wanted.cloned().collect()
     }
 
-    /// What happened after a revision; none if that is forgotten.
+    /// Returns the changes after a revision, or `None` if they are no longer in the history.
     pub(crate) fn since(&self, after: u64, prefix: &str) -> Option<Vec<Record>> {
-        if after < self.forgotten || after > self.revision {
+        if after < self.compacted || after > self.revision {
             return None;
         }
         let news = self.history.iter();
@@ -85,16 +85,16 @@
         self.era
     }
 
-    /// Comes back from a copy. Revisions and leases are given out again from there.
+    /// Restores a copy under a new era. Revisions and leases are assigned again from there.
     pub(crate) fn restore(&mut self, copy: Records) {
         let era = self.era + 1;
         *self = Records { era, ..copy };
-        self.forget();
+        self.compact();
     }
 
-    pub(crate) fn forget(&mut self) {
+    pub(crate) fn compact(&mut self) {
         self.history.clear();
-        self.forgotten = self.revision;
+        self.compacted = self.revision;
     }
 
     pub(crate) fn lease(&mut self, now: Instant, lifetime: Duration) -> u64 {
@@ -104,7 +104,7 @@
         lease
     }
 
-    /// Renews a lease; false if it has ended.
+    /// Renews a lease. Returns false if the lease has expired.
     pub(crate) fn renew(&mut self, now: Instant, lease: u64) -> bool {
         match self.leases.get_mut(&lease) {
             Some((until, lifetime)) => {
@@ -119,7 +119,7 @@
         lease == 0 || self.leases.contains_key(&lease)
     }
 
-    /// Ends leases whose time is over; true if records went with them.
+    /// Removes expired leases with their records. Returns true if any record was removed.
     pub(crate) fn expire(&mut self, now: Instant) -> bool {
         let over: Vec<u64> = self
             .leases
