--- a/crates/cli/src/args.rs
+++ b/crates/cli/src/args.rs
@@ -1,4 +1,4 @@
-//! The command line as given; each subcommand checks its own part.
+//! The arguments of the command line. Each subcommand validates its own values.
 
 use std::net::SocketAddr;
 
@@ -9,7 +9,7 @@
 use bpaf::positional;
 use bpaf::short;
 
-/// What was asked for.
+/// The selected subcommand with its arguments.
 #[derive(Debug, Clone)]
 pub(crate) enum Args {
     Demo(DemoArgs),
@@ -82,7 +82,7 @@
     pub(crate) entry: Vec<String>,
 }
 
-/// The command line's parser.
+/// Returns the parser of the command line.
 pub(crate) fn args() -> OptionParser<Args> {
     let demo = demo().map(Args::Demo).to_options();
     let demo = demo.descr("Runs the whole system in one process and checks its promises");
--- a/crates/cli/src/cli_error.rs
+++ b/crates/cli/src/cli_error.rs
@@ -1,9 +1,9 @@
-//! Why a subcommand could not run.
+//! Errors of subcommands.
 
 use compact_str::CompactString;
 use snafu::Snafu;
 
-/// Why a subcommand could not run.
+/// An error that prevents a subcommand from running.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub(crate) enum CliError {
@@ -14,7 +14,7 @@
         argument: &'static str,
         /// The value.
         value: CompactString,
-        /// What is allowed.
+        /// The allowed values.
         allowed: String,
     },
     /// An argument's value is out of bounds.
@@ -24,23 +24,23 @@
         argument: &'static str,
         /// The value.
         value: u64,
-        /// The least.
+        /// The smallest allowed value.
         low: u64,
-        /// The most.
+        /// The largest allowed value.
         high: u64,
     },
     /// The demo could not run.
     #[snafu(display("{source}"))]
     Demo {
-        /// Why.
+        /// The cause.
         source: jd_demo::DemoError,
     },
-    /// The system refused threads, addresses or input.
-    #[snafu(display("{what}: {source}"))]
+    /// The operating system could not provide threads, an address or a standard stream.
+    #[snafu(display("{resource}: {source}"))]
     System {
-        /// What.
-        what: &'static str,
-        /// What the system says.
+        /// The resource.
+        resource: &'static str,
+        /// The operating system's error.
         source: std::io::Error,
     },
     /// A log could not be read.
@@ -48,37 +48,37 @@
     Read {
         /// The file.
         file: CompactString,
-        /// What the system says.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// A time after which answers are late is none.
-    #[snafu(display("--late `{value}` is no time; write ROUTE=MS, or MS for all other routes"))]
+    /// A time of `--late` is not valid.
+    #[snafu(display("--late `{value}` is not a time; write ROUTE=MS, or MS for all other routes"))]
     Late {
-        /// What was given.
+        /// The argument's value.
         value: CompactString,
     },
-    /// No line is about the request.
+    /// No log line mentions the request.
     #[snafu(display(
-        "no line is about request `{id}`; give the logs of all instances of that time"
+        "no log line mentions request `{id}`; give the logs of all instances of that time"
     ))]
     NoRequest {
         /// The request.
         id: CompactString,
     },
-    /// No answer.
+    /// The instance did not answer.
     #[snafu(display("no answer from {address}; is an instance listening there?"))]
     NoAnswer {
-        /// The address asked.
+        /// The instance's address.
         address: CompactString,
     },
     /// The instance refused the credential or the request.
     #[snafu(display("{address} refused with status {status}: {text}"))]
     Refused {
-        /// The address asked.
+        /// The instance's address.
         address: CompactString,
         /// The status.
         status: u16,
-        /// What it said.
+        /// The body of the refusal.
         text: CompactString,
     },
 }
--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -17,10 +17,10 @@
 use crate::cli_error::DemoSnafu;
 use crate::cli_error::UnknownSnafu;
 
-/// Runs the demo; fails if a promise was broken or a fault did not bite.
-pub(crate) fn demo(raw: DemoArgs) -> Result<ExitCode, CliError> {
-    let json = raw.json;
-    let options = DemoOptions::try_from(raw)?;
+/// Runs the demo. Fails if a guarantee was violated or a fault had no effect.
+pub(crate) fn demo(args: DemoArgs) -> Result<ExitCode, CliError> {
+    let json = args.json;
+    let options = DemoOptions::try_from(args)?;
     let report = async_io::block_on(jd_demo::run(options)).context(DemoSnafu)?;
     match json {
         true => println!(
@@ -29,8 +29,8 @@
         ),
         false => print!("{}", report.to_text()),
     }
-    let good = report.violations() == 0 && report.faults_bit();
-    Ok(if good {
+    let passed = report.violations() == 0 && report.faults_bit();
+    Ok(if passed {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
@@ -40,20 +40,20 @@
 impl TryFrom<DemoArgs> for DemoOptions {
     type Error = CliError;
 
-    fn try_from(raw: DemoArgs) -> Result<DemoOptions, CliError> {
-        let faults: Result<Vec<Fault>, CliError> = raw.fault.iter().map(|f| fault(f)).collect();
+    fn try_from(args: DemoArgs) -> Result<DemoOptions, CliError> {
+        let faults: Result<Vec<Fault>, CliError> = args.fault.iter().map(|f| fault(f)).collect();
         Ok(DemoOptions {
-            deployment: deployment(&raw.deployment)?,
-            time: Duration::from_secs(bounded("--seconds", raw.seconds, 1, 3_600)?),
-            rate: bounded("--rate", raw.rate.into(), 1, 5_000)? as u32,
-            seed: raw.seed,
+            deployment: deployment(&args.deployment)?,
+            time: Duration::from_secs(bounded("--seconds", args.seconds, 1, 3_600)?),
+            rate: bounded("--rate", args.rate.into(), 1, 5_000)? as u32,
+            seed: args.seed,
             faults: faults?,
-            progress: !raw.json,
+            progress: !args.json,
         })
     }
 }
 
-/// The deployment with that name.
+/// Finds a deployment by its name.
 pub(crate) fn deployment(name: &str) -> Result<Deployment, CliError> {
     let value = CompactString::from(name);
     let allowed = "karrabin, hearthgate";
@@ -64,7 +64,7 @@
     })
 }
 
-/// A number within bounds.
+/// Checks that an argument's value is within bounds.
 pub(crate) fn bounded(
     argument: &'static str,
     value: u64,
--- a/crates/cli/src/explain.rs
+++ b/crates/cli/src/explain.rs
@@ -17,10 +17,10 @@
 use crate::cli_error::LateSnafu;
 use crate::cli_error::ReadSnafu;
 
-/// The file's name that stands for standard input.
+/// The file name that stands for standard input.
 const STDIN: &str = "-";
 
-/// Tells what became of requests from log lines.
+/// Explains the outcomes of requests from log lines.
 pub(crate) fn explain(args: &ExplainArgs) -> Result<ExitCode, CliError> {
     let late = late_after(&args.late)?;
     let mut log = Log::default();
@@ -28,22 +28,22 @@
         true => read(&mut log, STDIN)?,
         false => args.files.iter().try_for_each(|f| read(&mut log, f))?,
     }
-    let (named, count) = log.bad();
-    for bad in named {
+    let (reported, count) = log.bad();
+    for bad in reported {
         eprintln!("jacinthdeal: {bad}");
     }
-    if count > named.len() {
+    if count > reported.len() {
         eprintln!("jacinthdeal: {count} lines in all were not log lines");
     }
     let lines = log.lines();
     match &args.request {
         None => print!("{}", Breakdown::of(lines, &late)),
-        Some(id) => print!("{}", told(story(lines, id), id)?),
+        Some(id) => print!("{}", non_empty(story(lines, id), id)?),
     }
     Ok(ExitCode::SUCCESS)
 }
 
-fn told(text: String, id: &str) -> Result<String, CliError> {
+fn non_empty(text: String, id: &str) -> Result<String, CliError> {
     match text.is_empty() {
         true => Err(CliError::NoRequest { id: id.into() }),
         false => Ok(text),
@@ -51,14 +51,14 @@
 }
 
 fn read(log: &mut Log, file: &str) -> Result<(), CliError> {
-    let done = match file {
+    let result = match file {
         STDIN => log.read(STDIN, io::stdin().lock()),
         _ => File::open(file).and_then(|f| log.read(file, BufReader::new(f))),
     };
-    done.context(ReadSnafu { file })
+    result.context(ReadSnafu { file })
 }
 
-/// Reads `ROUTE=MS`, or `MS` for all other routes.
+/// Parses the values of `--late`: `ROUTE=MS`, or `MS` for all other routes.
 fn late_after(given: &[String]) -> Result<LateAfter, CliError> {
     let mut late = LateAfter::default();
     for value in given {
--- a/crates/cli/src/load.rs
+++ b/crates/cli/src/load.rs
@@ -22,22 +22,26 @@
 use crate::cli_error::SystemSnafu;
 use crate::demo::bounded;
 
-/// Threads of the load tool.
+/// Worker threads of the load tool.
 const THREADS: usize = 2;
 
+/// The results of all calls.
 #[derive(Debug, Default)]
-struct Seen {
-    took: Vec<Duration>,
-    in_time: u64,
-    ends: BTreeMap<String, u64>,
+struct Results {
+    latencies: Vec<Duration>,
+    successes: u64,
+    outcomes: BTreeMap<String, u64>,
 }
 
-/// Calls at a steady rate and reports; fails if no call was answered.
+/// Calls a pipeline at a steady rate and prints a report. Fails if no call was answered or
+/// accepted.
 pub(crate) fn load(args: LoadArgs) -> Result<ExitCode, CliError> {
     let rate = bounded("--rate", args.rate.into(), 1, 10_000)?;
     let seconds = bounded("--seconds", args.seconds, 1, 86_400)?;
     let deadline = Duration::from_millis(bounded("--deadline-ms", args.deadline_ms, 1, 60_000)?);
-    let workers = Workers::start(THREADS).context(SystemSnafu { what: "threads" })?;
+    let workers = Workers::start(THREADS).context(SystemSnafu {
+        resource: "threads",
+    })?;
     let config = ClientConfig {
         credential: args.credential.clone(),
         hall: None,
@@ -48,89 +52,90 @@
         .keyed(args.keyed)
         .stream(args.stream)
         .deadline(deadline);
-    let seen = Arc::new(Mutex::new(Seen::default()));
+    let results = Arc::new(Mutex::new(Results::default()));
     async_io::block_on(call_steadily(
         &workers,
         &client,
         &call,
-        &seen,
+        &results,
         rate,
         rate * seconds,
     ));
-    Ok(report(&lock(&seen), args.json))
+    Ok(report(&lock(&results), args.json))
 }
 
 async fn call_steadily(
     workers: &Workers,
     client: &Arc<Client>,
     call: &Call,
-    seen: &Arc<Mutex<Seen>>,
+    results: &Arc<Mutex<Results>>,
     rate: u64,
     count: u64,
 ) {
-    let gap = Duration::from_secs_f64(1.0 / rate as f64);
+    let interval = Duration::from_secs_f64(1.0 / rate as f64);
     let mut calls = Vec::new();
     for _ in 0..count {
-        let (client, call, seen) = (Arc::clone(client), call.clone(), Arc::clone(seen));
+        let (client, call, results) = (Arc::clone(client), call.clone(), Arc::clone(results));
         calls.push(workers.spawn(async move {
             let report = client.call(&call).await;
-            note(&mut lock(&seen), &report);
+            record(&mut lock(&results), &report);
         }));
-        Timer::after(gap).await;
+        Timer::after(interval).await;
     }
     for call in calls {
         call.await;
     }
 }
 
-fn note(seen: &mut Seen, report: &CallReport) {
-    let end = match &report.outcome {
+fn record(results: &mut Results, report: &CallReport) {
+    let outcome = match &report.outcome {
         Outcome::Answered { .. } => "answered".to_owned(),
         Outcome::Accepted { .. } => "accepted".to_owned(),
         Outcome::Refused(p) => format!("refused: {}, {}", p.title, p.run),
         Outcome::Unknown => "no answer".to_owned(),
         Outcome::Unreached => "no instance reached".to_owned(),
     };
-    let good = matches!(
+    let succeeded = matches!(
         report.outcome,
         Outcome::Answered { .. } | Outcome::Accepted { .. }
     );
-    seen.in_time += u64::from(good);
-    seen.took.push(report.took);
-    *seen.ends.entry(end).or_insert(0) += 1;
+    results.successes += u64::from(succeeded);
+    results.latencies.push(report.took);
+    *results.outcomes.entry(outcome).or_insert(0) += 1;
 }
 
-fn report(seen: &Seen, json: bool) -> ExitCode {
-    let mut took = seen.took.clone();
-    took.sort();
-    let at = |part: f64| {
-        let last = took.len().saturating_sub(1);
-        let i = (last as f64 * part).round() as usize;
-        took.get(i).map_or(0.0, |d| d.as_secs_f64() * 1_000.0)
+fn report(results: &Results, json: bool) -> ExitCode {
+    let mut latencies = results.latencies.clone();
+    latencies.sort();
+    let percentile = |quantile: f64| {
+        let last = latencies.len().saturating_sub(1);
+        let i = (last as f64 * quantile).round() as usize;
+        latencies.get(i).map_or(0.0, |d| d.as_secs_f64() * 1_000.0)
     };
-    let attainment = seen.in_time as f64 * 100.0 / took.len().max(1) as f64;
+    let attainment = results.successes as f64 * 100.0 / latencies.len().max(1) as f64;
     match json {
         true => {
             let value = serde_json::json!({
-                "calls": took.len(), "attainment": attainment,
-                "p50_ms": at(0.5), "p95_ms": at(0.95), "p99_ms": at(0.99), "ends": seen.ends,
+                "calls": latencies.len(), "attainment": attainment,
+                "p50_ms": percentile(0.5), "p95_ms": percentile(0.95),
+                "p99_ms": percentile(0.99), "ends": results.outcomes,
             });
             println!("{value}");
         }
         false => {
-            println!("{} calls, attainment {attainment:.2}%", took.len());
+            println!("{} calls, attainment {attainment:.2}%", latencies.len());
             println!(
                 "p50 {:.1} ms, p95 {:.1} ms, p99 {:.1} ms",
-                at(0.5),
-                at(0.95),
-                at(0.99)
+                percentile(0.5),
+                percentile(0.95),
+                percentile(0.99)
             );
-            for (end, count) in &seen.ends {
-                println!("  {end}: {count}");
+            for (outcome, count) in &results.outcomes {
+                println!("  {outcome}: {count}");
             }
         }
     }
-    if seen.in_time > 0 {
+    if results.successes > 0 {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,5 +1,6 @@
-//! The `jacinthdeal` command: a demo, a load tool, the operators' language and
-//! the stand-ins. Thin: each subcommand checks its arguments and calls a library.
+//! The `jacinthdeal` command: a demo, a load tool, an operators' client, experiments, log
+//! analysis and fakes of the platform. Each subcommand only checks its arguments and calls a
+//! library.
 
 mod args;
 mod cli_error;
@@ -16,12 +17,12 @@
 
 fn main() -> ExitCode {
     let result = match args::args().run() {
-        Args::Demo(raw) => demo::demo(raw),
-        Args::Operate(raw) => operate::operate(raw),
-        Args::Load(raw) => load::load(raw),
-        Args::StandIn(raw) => standin::standin(raw),
-        Args::Experiment(raw) => experiment::experiment(&raw),
-        Args::Explain(raw) => explain::explain(&raw),
+        Args::Demo(args) => demo::demo(args),
+        Args::Operate(args) => operate::operate(args),
+        Args::Load(args) => load::load(args),
+        Args::StandIn(args) => standin::standin(args),
+        Args::Experiment(args) => experiment::experiment(&args),
+        Args::Explain(args) => explain::explain(&args),
     };
     match result {
         Ok(code) => code,
--- a/crates/cli/src/operate.rs
+++ b/crates/cli/src/operate.rs
@@ -25,52 +25,54 @@
 use crate::cli_error::RefusedSnafu;
 use crate::cli_error::SystemSnafu;
 
-/// How long a command may take, its way into force included.
-const PATIENCE: Duration = Duration::from_secs(15);
-/// The largest reply, in bytes.
-const MAX_REPLY: usize = 16 << 20;
+/// The time-out of a command, including the time until it takes effect.
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(15);
+/// The maximum size of a reply in bytes.
+const MAX_REPLY_BYTES: usize = 16 << 20;
 
-/// Sends one command, or every line of standard input.
+/// Sends the command of the arguments, or each line of standard input as a command.
 pub(crate) fn operate(args: OperateArgs) -> Result<ExitCode, CliError> {
-    let workers = Workers::start(1).context(SystemSnafu { what: "threads" })?;
+    let workers = Workers::start(1).context(SystemSnafu {
+        resource: "threads",
+    })?;
     let pool = HttpPool::new(workers.executor(), Clock::start());
-    let good = match args.line.is_empty() {
-        false => one(&pool, &args, &args.line.join(" "))?,
-        true => every_line(&pool, &args)?,
+    let succeeded = match args.line.is_empty() {
+        false => run_command(&pool, &args, &args.line.join(" "))?,
+        true => run_lines(&pool, &args)?,
     };
-    Ok(if good {
+    Ok(if succeeded {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
     })
 }
 
-fn every_line(pool: &HttpPool, args: &OperateArgs) -> Result<bool, CliError> {
+fn run_lines(pool: &HttpPool, args: &OperateArgs) -> Result<bool, CliError> {
     let stdin = std::io::stdin();
     let prompts = stdin.is_terminal();
-    let mut good = true;
+    let mut succeeded = true;
     let mut line = String::new();
     loop {
         if prompts {
             print!("jacinthdeal> ");
             std::io::stdout().flush().context(SystemSnafu {
-                what: "standard output",
+                resource: "standard output",
             })?;
         }
         line.clear();
         let read = stdin.lock().read_line(&mut line);
         match read.context(SystemSnafu {
-            what: "standard input",
+            resource: "standard input",
         })? {
-            0 => return Ok(good),
+            0 => return Ok(succeeded),
             _ if line.trim().is_empty() => {}
-            _ if matches!(line.trim(), "quit" | "exit") => return Ok(good),
-            _ => good &= one(pool, args, line.trim())?,
+            _ if matches!(line.trim(), "quit" | "exit") => return Ok(succeeded),
+            _ => succeeded &= run_command(pool, args, line.trim())?,
         }
     }
 }
 
-fn one(pool: &HttpPool, args: &OperateArgs, line: &str) -> Result<bool, CliError> {
+fn run_command(pool: &HttpPool, args: &OperateArgs, line: &str) -> Result<bool, CliError> {
     let reply = async_io::block_on(send(pool, args.at, &args.credential, line))?;
     match args.json {
         true => println!("{}", serde_json::to_string(&reply).unwrap_or_default()),
@@ -94,14 +96,14 @@
         address: address.clone(),
     })?;
     let res = pool
-        .send(at, req, PATIENCE, false)
+        .send(at, req, COMMAND_TIMEOUT, false)
         .await
         .and_then(Result::ok);
     let res = res.context(NoAnswerSnafu {
         address: address.clone(),
     })?;
     let status = res.status;
-    let body = res.read_all(MAX_REPLY).await.ok();
+    let body = res.read_all(MAX_REPLY_BYTES).await.ok();
     let body = body.context(NoAnswerSnafu {
         address: address.clone(),
     })?;
--- a/crates/cli/src/standin.rs
+++ b/crates/cli/src/standin.rs
@@ -24,14 +24,16 @@
 use crate::cli_error::UnknownSnafu;
 use crate::demo::deployment;
 
-/// Threads of the stand-ins.
+/// Worker threads of the stand-ins.
 const THREADS: usize = 2;
 
-/// Runs the stand-ins until the process is ended.
+/// Runs the stand-ins until the process is terminated.
 pub(crate) fn standin(args: StandInArgs) -> Result<ExitCode, CliError> {
     let deployment = deployment(&args.deployment)?;
     let entries: Result<Vec<Listed>, CliError> = args.entry.iter().map(|e| entry(e)).collect();
-    let workers = Workers::start(THREADS).context(SystemSnafu { what: "threads" })?;
+    let workers = Workers::start(THREADS).context(SystemSnafu {
+        resource: "threads",
+    })?;
     let clock = Clock::start();
     let witness = Arc::new(Witness::default());
     let upstreams = upstreams(&workers, clock, &deployment, &witness)?;
@@ -39,7 +41,7 @@
     list.extend(entries?);
     let platform = PlatformServer::start(&workers, clock, args.at, FakeList::new(list));
     let platform = platform.context(SystemSnafu {
-        what: "the platform's address",
+        resource: "the platform's address",
     })?;
     println!("platform's services at {}", platform.address());
     println!("{} upstreams of {}", upstreams.len(), deployment.name);
@@ -48,7 +50,7 @@
         println!("{line}");
     }
     loop {
-        // Woken for no reason, it waits again.
+        // `park` may wake up spuriously, so it is repeated.
         std::thread::park();
     }
 }
@@ -64,7 +66,7 @@
     let started: std::io::Result<Vec<UpstreamServer>> =
         deployment.upstreams().into_iter().map(start).collect();
     started.context(SystemSnafu {
-        what: "an upstream's address",
+        resource: "an upstream's address",
     })
 }
 
