--- a/soak/src/environment.rs
+++ b/soak/src/environment.rs
@@ -242,7 +242,7 @@
     }
 
     /// Restores the store from a copy after an outage. Then the operator and the upstreams
-    /// repeat their writes, and entries of upstreams that are old are removed.
+    /// repeat their writes, and entries of upstreams that are gone are removed.
     pub(crate) async fn restore(&self, copy: Records) {
         for n in 0..LOST_WRITES {
             self.store.put("op/other", &json!(n));
--- a/soak/src/fake_upstream.rs
+++ b/soak/src/fake_upstream.rs
@@ -135,7 +135,7 @@
             () if lacks_inputs => Some(StatusCode::CONFLICT),
             () => None,
         };
-        self.recorder.run(UpstreamRequest {
+        self.recorder.request(UpstreamRequest {
             id: id.clone(),
             upstream: me.clone(),
             at: self.recorder.now(),
--- a/soak/src/recorder.rs
+++ b/soak/src/recorder.rs
@@ -170,8 +170,8 @@
         lock(&self.attempts).push(attempt);
     }
 
-    pub(crate) fn run(&self, run: UpstreamRequest) {
-        lock(&self.upstream_requests).push(run);
+    pub(crate) fn request(&self, request: UpstreamRequest) {
+        lock(&self.upstream_requests).push(request);
     }
 
     pub(crate) fn span(&self, fault: Fault, from: Duration, to: Duration, target: &str) {
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -184,9 +184,7 @@
             }
             Timer::after(POLL_INTERVAL).await;
         }
-        Err(io::Error::other(format!(
-            "instance {n} did not become ready"
-        )))
+        Err(io::Error::other(format!("instance {n} is not ready")))
     }
 
     async fn until_ended(&self, n: usize) -> io::Result<()> {
