--- /dev/null
+++ b/soak/src/environment.rs
@@ -0,0 +1,361 @@
+//! The environment of the instances in a soak: store, upstreams, links and operator.
+
+use std::net::IpAddr;
+use std::net::Ipv4Addr;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::sync::Mutex;
+use std::sync::atomic::AtomicBool;
+use std::sync::atomic::AtomicU64;
+use std::sync::atomic::Ordering;
+use std::time::Duration;
+use std::time::SystemTime;
+
+use async_channel::Receiver;
+use async_executor::Executor;
+use async_io::Timer;
+use jd_net::Handler;
+use jd_net::HttpServer;
+use jd_net::ServerLimits;
+use jd_net::lock;
+use serde_json::json;
+
+use crate::LinkMode;
+use crate::Recorder;
+use crate::StoreMode;
+use crate::config;
+use crate::config::KEYS;
+use crate::fake_stage_upstream::FakeStageUpstream;
+use crate::fake_stage_upstream::Results;
+use crate::fake_store::FakeStore;
+use crate::fake_upstream::FakeUpstream;
+use crate::relay::Relay;
+use crate::store::Records;
+
+/// The services of the upstreams, one entry for each upstream.
+const SERVICES: [&str; 9] = [
+    "desk", "desk", "desk", "model", "model", "model", "rank", "rank", "rank",
+];
+/// Writes after the copy that a restore loses. The store assigns their revisions again.
+const LOST_WRITES: u32 = 30;
+/// The time for instances to read these writes before the store fails.
+const READ_DELAY: Duration = Duration::from_millis(300);
+/// The time for which the store is unavailable before it is restored from a copy.
+const OUTAGE: Duration = Duration::from_millis(300);
+/// The time after a restore at which the operator and the upstreams repeat the lost
+/// writes.
+const REWRITE_DELAY: Duration = Duration::from_millis(400);
+/// The ports of an instance, in the order of its settings.
+const PORTS: [u16; 5] = [7_001, 7_002, 7_003, 7_004, 7_005];
+/// The port of the store, of relays to it, and of upstreams. Relays to upstreams use the
+/// next port.
+const SERVICE_PORT: u16 = 7_010;
+/// The time for which a restarting upstream is down.
+const RESTART_DOWNTIME: Duration = Duration::from_millis(150);
+/// The time from the start of a crashing request to the crash of its upstream.
+const CRASH_DELAY: Duration = Duration::from_millis(40);
+/// The time from a crash to the replacement of the upstream. The entries of the users'
+/// upstreams remain for that long.
+const CRASH_DOWNTIME: Duration = Duration::from_millis(900);
+/// The last octet of the first upstream's address. Instances use lower numbers.
+const FIRST_UPSTREAM: usize = 200;
+
+/// An upstream and the link to it.
+#[derive(Debug)]
+pub(crate) struct Upstream {
+    pub(crate) service: &'static str,
+    pub(crate) handler: UpstreamHandler,
+    pub(crate) link: Arc<Relay>,
+}
+
+/// The handler at an upstream's address.
+#[derive(Debug)]
+pub(crate) enum UpstreamHandler {
+    Requests(Arc<FakeUpstream>),
+    Pieces(Arc<FakeStageUpstream>),
+}
+
+impl UpstreamHandler {
+    pub(crate) fn fake(&self) -> &FakeUpstream {
+        match self {
+            UpstreamHandler::Requests(fake) => fake,
+            UpstreamHandler::Pieces(stage) => &stage.fake,
+        }
+    }
+}
+
+/// The store, the upstreams, the links and the operator around the instances.
+#[derive(Debug)]
+pub(crate) struct Environment {
+    pub(crate) store: Arc<FakeStore>,
+    pub(crate) recorder: Arc<Recorder>,
+    pub(crate) upstreams: Vec<Upstream>,
+    pub(crate) store_links: Vec<Arc<Relay>>,
+    ended: Receiver<String>,
+    network: [u8; 3],
+    operator: Mutex<Operator>,
+    _servers: Vec<HttpServer>,
+}
+
+/// The configuration that the operator wrote last.
+#[derive(Debug)]
+struct Operator {
+    version: u64,
+    keys: usize,
+}
+
+impl Environment {
+    /// Starts the environment of `instances` instances on loopback addresses that begin with
+    /// `network`.
+    pub(crate) fn start(
+        executor: &Arc<Executor<'static>>,
+        network: [u8; 3],
+        instances: usize,
+    ) -> std::io::Result<Environment> {
+        let recorder = Arc::new(Recorder::default());
+        let store = Arc::new(FakeStore::default());
+        let results = Arc::new(Results::default());
+        let listen = |address, handler: Arc<dyn Handler>| {
+            let limits = ServerLimits::default();
+            HttpServer::start(Arc::clone(executor), address, limits, handler)
+        };
+        let store_address = at(network, 1, SERVICE_PORT);
+        let mut servers = vec![listen(
+            store_address,
+            Arc::clone(&store) as Arc<dyn Handler>,
+        )?];
+        executor.spawn(Arc::clone(&store).expire()).detach();
+        let links = (0..instances).map(|n| {
+            let own = at(network, 2 + n, SERVICE_PORT);
+            Relay::start(executor, own, store_address)
+        });
+        let store_links = links.collect::<std::io::Result<Vec<Arc<Relay>>>>()?;
+        let (tx, ended) = async_channel::unbounded();
+        let mut upstreams = Vec::with_capacity(SERVICES.len());
+        for (n, service) in SERVICES.into_iter().enumerate() {
+            let address = at(network, FIRST_UPSTREAM + n, SERVICE_PORT);
+            let link = Relay::start(
+                executor,
+                at(network, FIRST_UPSTREAM + n, SERVICE_PORT + 1),
+                address,
+            )?;
+            let fake = FakeUpstream {
+                id: Mutex::new(new_id()),
+                started_ms: AtomicU64::new(unix_time_ms()),
+                mode: Mutex::default(),
+                limit: Mutex::default(),
+                draining: AtomicBool::new(false),
+                announces_leaving: AtomicBool::new(false),
+                recorder: Arc::clone(&recorder),
+                results: Arc::clone(&results),
+                ended: tx.clone(),
+            };
+            let (handler, handler_kind): (Arc<dyn Handler>, UpstreamHandler) = match service {
+                "rank" => {
+                    let address = link.address();
+                    let stage = Arc::new(FakeStageUpstream { fake, address });
+                    (
+                        Arc::clone(&stage) as Arc<dyn Handler>,
+                        UpstreamHandler::Pieces(stage),
+                    )
+                }
+                _ => {
+                    let fake = Arc::new(fake);
+                    (
+                        Arc::clone(&fake) as Arc<dyn Handler>,
+                        UpstreamHandler::Requests(fake),
+                    )
+                }
+            };
+            servers.push(listen(address, handler)?);
+            upstreams.push(Upstream {
+                service,
+                handler: handler_kind,
+                link,
+            });
+        }
+        let env = Environment {
+            store,
+            recorder,
+            upstreams,
+            store_links,
+            ended,
+            network,
+            operator: Mutex::new(Operator {
+                version: 0,
+                keys: KEYS.len(),
+            }),
+            _servers: servers,
+        };
+        for upstream in &env.upstreams {
+            env.register(upstream);
+        }
+        env.configure();
+        Ok(env)
+    }
+
+    /// The settings of an instance.
+    pub(crate) fn settings(&self, instance: usize) -> String {
+        let [callers, ready, locate, peers, metrics] =
+            PORTS.map(|port| at(self.network, 2 + instance, port));
+        let store = self.store_links[instance].address();
+        format!(
+            "[instance]\nname = soak-{instance}\nzone = hall-{}\ncallers = {callers}\n\
+             ready = {ready}\nlocate = {locate}\npeers = {peers}\nmetrics = {metrics}\n\
+             [store]\naddress = {store}\n[repeats]\nslack = 50\n",
+            ["a", "b", "c"][instance % 3]
+        )
+    }
+
+    pub(crate) fn callers_at(&self, instance: usize) -> SocketAddr {
+        at(self.network, 2 + instance, PORTS[0])
+    }
+
+    pub(crate) fn ready_at(&self, instance: usize) -> SocketAddr {
+        at(self.network, 2 + instance, PORTS[1])
+    }
+
+    /// Writes the current entry of an upstream to the store.
+    pub(crate) fn register(&self, upstream: &Upstream) {
+        let fake = upstream.handler.fake();
+        let id = fake.id();
+        let state = match fake.draining.load(Ordering::Relaxed) {
+            true => "draining",
+            false => "ready",
+        };
+        let entry = json!({
+            "service": upstream.service, "addr": upstream.link.address(), "zone": "hall-a",
+            "version": "v1", "slots": 16, "state": state, "cold_left_ms": 0, "seq": 1,
+            "born": fake.started_ms.load(Ordering::Relaxed),
+        });
+        self.store.put(&format!("servers/{id}"), &entry);
+    }
+
+    /// Replaces an upstream by one with a new identity at the same address.
+    pub(crate) fn replace(&self, upstream: &Upstream) {
+        let fake = upstream.handler.fake();
+        let old = std::mem::replace(&mut *lock(&fake.id), new_id());
+        fake.draining.store(false, Ordering::Relaxed);
+        fake.announces_leaving.store(false, Ordering::Relaxed);
+        self.store.remove(&format!("servers/{old}"));
+        self.register(upstream);
+    }
+
+    /// Restores the store from a copy after an outage. Then the operator and the upstreams
+    /// repeat their writes, and entries of upstreams that are gone are removed.
+    pub(crate) async fn restore(&self, copy: Records) {
+        for n in 0..LOST_WRITES {
+            self.store.put("op/other", &json!(n));
+        }
+        Timer::after(READ_DELAY).await;
+        *lock(&self.store.mode) = Some(StoreMode::Refuses);
+        Timer::after(OUTAGE).await;
+        self.store.restore(copy);
+        *lock(&self.store.mode) = None;
+        Timer::after(REWRITE_DELAY).await;
+        // A new configuration version, under a revision that the store already assigned before.
+        self.configure();
+        for upstream in &self.upstreams {
+            self.register(upstream);
+        }
+        let present: Vec<String> = self
+            .upstreams
+            .iter()
+            .map(|p| p.handler.fake().id())
+            .collect();
+        let listed = lock(&self.store.records).range("servers/", "");
+        let stale = listed.iter().filter(|r| {
+            let id = r.key.strip_prefix("servers/").unwrap_or_default();
+            !present.iter().any(|t| t == id)
+        });
+        for record in stale {
+            self.store.remove(&record.key);
+        }
+    }
+
+    /// Restarts an upstream under its identity. Its connections and held results are lost.
+    pub(crate) async fn restart(&self, upstream: &Upstream) {
+        upstream.link.set(Some(LinkMode::Resets));
+        upstream
+            .handler
+            .fake()
+            .results
+            .drop_all(upstream.link.address());
+        Timer::after(RESTART_DOWNTIME).await;
+        upstream
+            .handler
+            .fake()
+            .started_ms
+            .store(unix_time_ms(), Ordering::Relaxed);
+        self.register(upstream);
+        upstream.link.set(None);
+    }
+
+    /// Crashes the upstreams that executed a crashing request. Each is later replaced by an
+    /// upstream with another identity.
+    pub(crate) async fn handle_crashes(self: Arc<Self>, executor: Arc<Executor<'static>>) {
+        while let Ok(id) = self.ended.recv().await {
+            let env = Arc::clone(&self);
+            let ending = async move {
+                let mut upstreams = env.upstreams.iter();
+                if let Some(upstream) = upstreams.find(|p| p.handler.fake().id() == id) {
+                    env.end(upstream).await;
+                }
+            };
+            executor.spawn(ending).detach();
+        }
+    }
+
+    async fn end(&self, upstream: &Upstream) {
+        Timer::after(CRASH_DELAY).await;
+        upstream.link.set(Some(LinkMode::Refuses));
+        Timer::after(CRASH_DOWNTIME).await;
+        self.replace(upstream);
+        upstream.link.set(None);
+    }
+
+    /// Writes the next configuration and returns its version.
+    pub(crate) fn configure(&self) -> u64 {
+        let mut operator = lock(&self.operator);
+        operator.version += 1;
+        self.write_config(&operator);
+        operator.version
+    }
+
+    /// Revokes a credential and returns it, or `None` if only the first one is left.
+    pub(crate) fn revoke(&self) -> Option<&'static str> {
+        let mut operator = lock(&self.operator);
+        if operator.keys <= 1 {
+            return None;
+        }
+        operator.keys -= 1;
+        operator.version += 1;
+        self.write_config(&operator);
+        Some(KEYS[operator.keys])
+    }
+
+    pub(crate) fn version(&self) -> u64 {
+        lock(&self.operator).version
+    }
+
+    fn write_config(&self, operator: &Operator) {
+        let config = config::config(operator.version, operator.keys);
+        self.store.put("op/config", &config);
+    }
+}
+
+/// Milliseconds since 1970, in which upstreams state the time of their start.
+pub(crate) fn unix_time_ms() -> u64 {
+    let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
+    since.map_or(0, |s| s.as_millis() as u64)
+}
+
+fn new_id() -> String {
+    format!("i-{:08x}", fastrand::u32(..))
+}
+
+fn at(network: [u8; 3], last: usize, port: u16) -> SocketAddr {
+    let last = u8::try_from(last).unwrap_or(u8::MAX);
+    let [a, b, c] = network;
+    SocketAddr::new(IpAddr::V4(Ipv4Addr::new(a, b, c, last)), port)
+}
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -1,44 +1,44 @@
-//! Soaking real gateway processes: stand-ins of the store, the upstreams and the
-//! callers, faults between them, and checks of what callers and upstreams saw.
+//! Soak tests of real gateway processes with fake stores, upstreams and callers,
+//! fault injection, and checks of what callers and upstreams recorded.
 //!
-//! Whoever runs a soak owns the processes, behind [`Fleet`]. Everything else is
-//! here: [`Plan`] draws the faults of a seed, [`soak`] plays it, and
-//! [`judge`] tells which promises were broken.
+//! The caller of [`soak`] owns the gateway processes and controls them through
+//! [`Fleet`]. [`Plan`] draws the faults of a seed, [`soak`] injects them, and
+//! [`judge`] reports the violated guarantees.
 
-mod bad_requests;
 mod caller;
 mod config;
+mod environment;
+mod fake_stage_upstream;
+mod fake_store;
+mod fake_upstream;
 mod fault;
 mod fleet;
 mod judge;
-mod ledger;
 mod limits;
-mod model;
 mod notices;
 mod plan;
+mod quarantine;
+mod recorder;
 mod relay;
 mod run;
-mod stages;
 mod store;
-mod store_api;
-mod world;
 
-pub use fault::EngineMode;
 pub use fault::Fault;
 pub use fault::LinkMode;
 pub use fault::StoreMode;
+pub use fault::UpstreamMode;
 pub use fleet::Fleet;
 pub use fleet::ProcessSignal;
-pub use judge::Broken;
+pub use judge::Violation;
 pub use judge::judge;
-pub use ledger::Attempt;
-pub use ledger::Ended;
-pub use ledger::Kind;
-pub use ledger::Ledger;
-pub use ledger::Notice;
-pub use ledger::Run;
-pub use ledger::Span;
 pub use plan::Plan;
 pub use plan::Step;
-pub use run::Played;
+pub use recorder::Attempt;
+pub use recorder::FaultSpan;
+pub use recorder::Notice;
+pub use recorder::Outcome;
+pub use recorder::Recorder;
+pub use recorder::RequestKind;
+pub use recorder::UpstreamRequest;
+pub use run::SoakReport;
 pub use run::soak;
